--- a/flintfield/placement/__init__.py
+++ b/flintfield/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which worker a ready task goes to: shares on the decision module, within capacity that nobody guards."""
+"""Chooses a worker for each ready task: by market shares, within the capacity on the dispatcher's record."""
--- a/flintfield/placement/index.py
+++ b/flintfield/placement/index.py
@@ -1,9 +1,9 @@
-"""Which workers there are by service, label and rack, and how few of them a decision looks at.
+"""Index of workers by service, label and rack, which bounds how many workers a decision examines.
 
-The lists hold names; what a worker's room is now is read from the dispatcher's table at each decision. A
-group of up to `WALK_ALL` workers is looked at whole. Of a larger one a decision looks from a random place
-onwards until it has found `ENOUGH` that could take the task, so that its cost does not grow with the fleet
-while there is room.
+The lists hold instance names; a worker's free room is read from the dispatcher's table at each decision. A
+group of up to `FULL_SCAN_MAX_WORKERS` is scanned completely. In a larger group a decision scans from a random
+position until it has found `ENOUGH_CANDIDATES` workers that can take the task, so its cost does not grow with
+the fleet while there is room.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from flintfield.placement.interface import Demand, Worker
 
-WALK_ALL = 32
-ENOUGH = 24
-LOOK_AT = 512  # at the most, of a group in which hardly anybody has room: each look begins at another place
+FULL_SCAN_MAX_WORKERS = 32
+ENOUGH_CANDIDATES = 24
+MAX_SCANNED = 512  # workers per scan if few have room; each scan starts at another random position
 
-_NOBODY: list[str] = []
+_NO_WORKERS: list[str] = []
 
 
 class WorkerIndex:
@@ -31,15 +31,15 @@
         self._count = -1
 
     def is_stale(self, workers: dict[str, Worker]) -> bool:
-        """Whether workers have come or gone since the last build."""
+        """Whether the number of workers differs from that at the last build."""
         return self._count != len(workers)
 
     def invalidate(self) -> None:
-        """Have it built anew at the next look."""
+        """Mark the index for a rebuild before its next use."""
         self._count = -1
 
     def build(self, workers: dict[str, Worker]) -> None:
-        """Read the whole table."""
+        """Rebuild the index from the whole table."""
         self._by_service, self._by_label, self._by_rack = {}, {}, {}
         for instance, worker in workers.items():
             service = worker.service
@@ -50,23 +50,25 @@
         self._count = len(workers)
 
     def members(self, service: str) -> list[str]:
-        """All workers of the service (not to be changed)."""
-        return self._by_service.get(service, _NOBODY)
+        """All workers of the service; the caller must not modify the list."""
+        return self._by_service.get(service, _NO_WORKERS)
 
     def rack_members(self, service: str, rack: str) -> list[str]:
-        """All workers of the service on that rack (not to be changed)."""
-        return self._by_rack.get((service, rack), _NOBODY)
+        """All workers of the service on that rack; the caller must not modify the list."""
+        return self._by_rack.get((service, rack), _NO_WORKERS)
 
     def group(self, demand: Demand) -> list[str]:
-        """The shortest list that has all workers with the labels asked for."""
+        """The shortest list that contains all workers with the required labels."""
         if not demand.needs:
             return self.members(demand.service)
-        return min((self._by_label.get((demand.service, label), _NOBODY) for label in demand.needs), key=len)
+        return min(
+            (self._by_label.get((demand.service, label), _NO_WORKERS) for label in demand.needs), key=len
+        )
 
 
-def from_random_place(group: list[str], generator: random.Random) -> Iterator[str]:
-    """The group from a random place onwards, each worker once, `LOOK_AT` at the most."""
+def scan_from_random_start(group: list[str], generator: random.Random) -> Iterator[str]:
+    """The group from a random position onwards, wrapping around; each worker once, up to `MAX_SCANNED`."""
     start = int(generator.random() * len(group))
-    end = start + min(LOOK_AT, len(group))
+    end = start + min(MAX_SCANNED, len(group))
     yield from itertools.islice(group, start, end)
     yield from itertools.islice(group, 0, max(0, end - len(group)))
--- a/flintfield/placement/interface.py
+++ b/flintfield/placement/interface.py
@@ -1,4 +1,4 @@
-"""What placement is told and what it answers. It does no I/O, has no clock; its random numbers are seeded."""
+"""Inputs and results of placement. Placement does no I/O and has no clock; its random numbers are seeded."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Thousandths of a core, MB of memory, GPUs."""
+    """Amounts of CPU (thousandths of a core), memory (MB) and GPUs."""
 
     cpu: int = 0
     memory_mb: int = 0
     gpu: int = 0
 
     def fits(self, room: Resources) -> bool:
-        """Whether all of it is within that room."""
+        """Whether no amount exceeds that of `room`."""
         return self.cpu <= room.cpu and self.memory_mb <= room.memory_mb and self.gpu <= room.gpu
 
     def plus(self, other: Resources) -> Resources:
-        """The sum."""
+        """The sum of both, per resource."""
         return Resources(self.cpu + other.cpu, self.memory_mb + other.memory_mb, self.gpu + other.gpu)
 
     def minus(self, other: Resources) -> Resources:
-        """The difference; may be negative."""
+        """The difference per resource; may be negative."""
         return Resources(self.cpu - other.cpu, self.memory_mb - other.memory_mb, self.gpu - other.gpu)
 
 
 @dataclass(slots=True)
 class Worker:
-    """A worker as the dispatcher's record has it; the dispatcher changes it, placement reads it.
+    """A worker as recorded by the dispatcher; the dispatcher updates it, placement only reads it.
 
-    `used` counts every run that may be there: ordered, running, being stopped, or in doubt. `ready` is
-    False while it drains, is silent, or its agent is out of touch. `rack` is its label that names the rack.
-    `held` counts the tasks by `(job, time, step)` that it holds, for anti-affinity.
+    `used` includes every run that may be on the worker: ordered, running, being stopped, or in an unknown
+    state. `ready` is False while the worker drains, sends nothing, or its agent is disconnected. `rack` is
+    the label that names its rack. `held` counts the worker's tasks by `(job, time, step)`, for anti-affinity.
     """
 
     instance: str
@@ -53,12 +53,12 @@
 class Demand:
     """A task that is ready to start.
 
-    `needs` are the labels asked for (usually none or one); `affinity` names a rack or is ""; `together` is
-    True where all tasks of the step should be on one rack; `siblings` are the racks where other tasks of
-    that step run now. `at_most` is the anti-affinity bound by worker (0: none), for the key `group` = (job,
-    time, step). `avoid` are instances where earlier runs of this task failed, stalled or were lost.
-    `priority` is the queue's number (0 first); `client` names who is served, for the shares (the queue's
-    name). `estimate_ms` is the client's rough guess.
+    `needs` are the required labels (usually none or one); `affinity` names a preferred rack or is "";
+    `together` is True if all tasks of the step should be on one rack; `siblings` are the racks where other
+    tasks of that step run now. `at_most` is the anti-affinity limit per worker (0: no limit) on tasks of the
+    key `group` = (job, time, step). `avoid` are the instances where earlier runs of this task failed, stalled
+    or were lost. `priority` is the queue's priority (0 is the highest); `client` is the queue's name, for
+    which shares are computed. `estimate_ms` is the client's rough estimate of the running time.
     """
 
     task: str
@@ -77,33 +77,33 @@
 
 
 class Result:
-    """How a run ended, for what is learned of its worker."""
+    """How a run ended, as evidence about its worker."""
 
     DONE, FAILED, LOST, STALLED = "done", "failed", "lost", "stalled"
 
 
 class Placement(Protocol):
-    """The policy. `workers` are all workers by instance; the dispatcher alone changes them."""
+    """A placement policy. `workers` has all workers by instance; only the dispatcher changes them."""
 
     def note_start(self, demand: Demand, instance: str, now_ms: int) -> None:
-        """A run was ordered there."""
+        """Record that a run was ordered on the instance."""
 
     def note_end(self, demand: Demand, instance: str, result: str, ran_ms: float, now_ms: int) -> None:
-        """A run ended so after that time (0.0 where unknown)."""
+        """Record that a run ended with `result` after `ran_ms` (0.0 if unknown)."""
 
     def forget(self, instance: str) -> None:
-        """The worker is gone."""
+        """Drop all state of a worker that no longer exists."""
 
     def tick(self, now_ms: int, workers: dict[str, Worker]) -> None:
-        """Step the prices; called about every 100 ms."""
+        """Update the prices; called about every 100 ms."""
 
     def choose(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
-        """The instance on which to start it now, or None where it is better to wait."""
+        """The instance on which to start the task now, or None if it should wait."""
 
     def choose_gang(
         self, demands: Sequence[Demand], workers: dict[str, Worker], now_ms: int
     ) -> list[str] | None:
-        """An instance for each, all or none."""
+        """An instance for each demand, or None if the gang can't be placed as a whole."""
 
     def trusted(self, instance: str, now_ms: int) -> bool:
-        """False while the worker is in quarantine for failing or stalling."""
+        """False while the worker is quarantined or probed after failed or stalled runs."""
--- a/flintfield/placement/packing.py
+++ b/flintfield/placement/packing.py
@@ -1,8 +1,8 @@
-"""How much of a worker's room a placement strands.
+"""Computes how much free room of a worker a placement strands.
 
-A worker's free room is stranded as far as one resource is free beyond the scarcest: GPUs without the cores
-that drive them serve nobody. Of workers that are equally good by their share, the one is taken on which a
-placement adds the least of that.
+Free room is stranded to the extent that the free fraction of a resource exceeds that of the scarcest one:
+GPUs without the cores to drive them are unusable. Among workers with similar shares, placement takes the one
+where it adds the least stranded room.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 def stranded(capacity: Resources, used_cpu: int, used_memory_mb: int, used_gpu: int) -> float:
-    """Free parts of capacity in excess of the scarcest resource's, summed (0.0: in balance)."""
-    least = cpu = 1.0 - used_cpu / capacity.cpu if capacity.cpu else 0.0
-    total, kinds = cpu, 1
+    """Sum over resources of the free fraction in excess of the scarcest resource's (0.0: balanced)."""
+    scarcest = cpu = 1.0 - used_cpu / capacity.cpu if capacity.cpu else 0.0
+    total, resource_count = cpu, 1
     if capacity.memory_mb:
         memory = 1.0 - used_memory_mb / capacity.memory_mb
-        total, kinds = total + memory, 2
-        least = memory if memory < least else least
+        total, resource_count = total + memory, 2
+        scarcest = memory if memory < scarcest else scarcest
     if capacity.gpu:
         gpu = 1.0 - used_gpu / capacity.gpu
-        total, kinds = total + gpu, kinds + 1
-        least = gpu if gpu < least else least
-    return total - kinds * least
+        total, resource_count = total + gpu, resource_count + 1
+        scarcest = gpu if gpu < scarcest else scarcest
+    return total - resource_count * scarcest
 
 
 def added_stranding(worker: Worker, demand: Resources) -> float:
-    """What the placement adds to the stranded room there (below 0: it brings the room into balance)."""
+    """Change of the worker's stranded room by the placement (negative: free room becomes more balanced)."""
     used, capacity = worker.used, worker.capacity
     cpu, memory_mb, gpu = used.cpu, used.memory_mb, used.gpu
     after = stranded(capacity, cpu + demand.cpu, memory_mb + demand.memory_mb, gpu + demand.gpu)
--- a/flintfield/placement/prices.py
+++ b/flintfield/placement/prices.py
@@ -1,9 +1,9 @@
-"""Prices of workers: the projected step of the market on load against a part of capacity.
+"""Prices of workers: a projected gradient step on the load relative to a target fraction of capacity.
 
 Each step is φ ← [φ − ν(ρ − u)]⁺ (overlay market paper, price update; its ESB section counts capacity as ρ
-of the true). Workers send no figure of free slots, so the load u is 1 − free / largest free seen, from the
-dispatcher's record of what was ordered and has not ended against the capacity that the worker reports. Of
-CPU, memory and GPUs the scarcest decides.
+of the true capacity). Workers do not report free slots, so the load u is 1 − free / largest free seen. Free
+room is the capacity that the worker reports less the dispatcher's record of runs ordered and not ended. The
+scarcest of CPU, memory and GPUs determines u.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from flintfield.placement.interface import Resources, Worker
 
-RHO = 0.8  # the part of a worker that is sold without its price rising (as in the program in service)
-NU_PER_S = 1.0  # price step for one second of a whole worker's excess demand, in units of the highest worth
-TOP_PRICE = 0.5  # half of the highest worth: a worker that empties is cheap again within a second
-LONGEST_STEP_S = 1.0  # after a pause (freeze, takeover) one step counts as no more
+RHO = 0.8  # load above which the price rises, as in the program in service
+NU_PER_S = 1.0  # price step per second of excess demand of one whole worker, in units of the highest worth
+TOP_PRICE = 0.5  # half of the highest worth: the price of a worker that empties falls to 0 within a second
+MAX_STEP_S = 1.0  # limit on one step's duration after a pause (frozen process, takeover)
 
 
 @dataclass(slots=True)
 class _Entry:
-    """What is known of one worker; `load` is u for the `used` and `capacity` that were last looked at."""
+    """State of one worker; `load` is u for `used` and `capacity` as of the last update."""
 
     stepped_ms: int
     used: Resources | None = None
@@ -32,10 +32,10 @@
 
 
 class PriceTable:
-    """A price for each worker, by the largest free room seen on it."""
+    """A price for each worker, from its load relative to the largest free room seen on it."""
 
     def __init__(self) -> None:
-        self.prices: dict[str, float] = {}  # φ by worker; whoever is missing has 0.0
+        self.prices: dict[str, float] = {}  # φ by worker; a missing worker has 0.0
         self._entries: dict[str, _Entry] = {}
 
     def price(self, instance: str) -> float:
@@ -48,33 +48,33 @@
         return entry.load if entry is not None else 1.0
 
     def step(self, worker: Worker, now_ms: int) -> None:
-        """Step one price by the time since its last step; a worker that is not in touch keeps its price."""
+        """Update one price for the time since its last step; a worker that is not ready keeps its price."""
         entry = self._entries.get(worker.instance)
         if entry is None:
             entry = self._entries[worker.instance] = _Entry(now_ms)
-        seconds = min(LONGEST_STEP_S, max(0, now_ms - entry.stepped_ms) / 1000.0)
+        seconds = min(MAX_STEP_S, max(0, now_ms - entry.stepped_ms) / 1000.0)
         entry.stepped_ms = now_ms
         if not worker.ready:
             return
         if entry.used is not worker.used or entry.capacity is not worker.capacity:
-            _look(entry, worker)
+            _update_load(entry, worker)
         price = self.prices.get(worker.instance, 0.0)
         if price > 0.0 or entry.load > RHO:
             stepped = price - NU_PER_S * seconds * (RHO - entry.load)
             self.prices[worker.instance] = min(TOP_PRICE, max(0.0, stepped))
 
     def forget(self, instance: str) -> None:
-        """The worker is gone."""
+        """Drop the state of a worker that no longer exists."""
         self.prices.pop(instance, None)
         self._entries.pop(instance, None)
 
     def gone(self, workers: dict[str, Worker]) -> list[str]:
-        """Workers that are known here and no longer in the table."""
+        """Workers that have state here but are no longer in the table."""
         return [instance for instance in self._entries if instance not in workers]
 
 
-def _look(entry: _Entry, worker: Worker) -> None:
-    """Take in the room that the record leaves on the worker: the largest, and u by the scarcest resource."""
+def _update_load(entry: _Entry, worker: Worker) -> None:
+    """Update the largest free room seen and the load u, which the scarcest resource determines."""
     used, capacity = worker.used, worker.capacity
     entry.used, entry.capacity = used, capacity
     cpu, gpu = capacity.cpu - used.cpu, capacity.gpu - used.gpu
--- a/flintfield/placement/runs.py
+++ b/flintfield/placement/runs.py
@@ -1,7 +1,7 @@
-"""Runs that are out, by task, and those of them that are overdue.
+"""Active runs by task, and detection of overdue ones.
 
-A slow worker shows no completion until it is too late to learn from it; a run that has taken twice its
-usual time is evidence of its own, and again at four and at eight times.
+The completion of a run on a slow worker comes too late to learn from. A run that has taken twice its expected
+time is therefore counted as evidence itself, and again at four and at eight times.
 """
 
 from __future__ import annotations
@@ -10,56 +10,57 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-FIRST_ALARM = 2.0  # times the expected duration
+FIRST_ALARM = 2.0  # multiple of the expected duration
 LAST_ALARM = 8.0
-MOST_RUNS = 65_536  # the eldest is dropped: it had no end in all that time
+MAX_RUNS = 65_536  # beyond this the oldest run, which has not ended in all that time, is dropped
 
 
 @dataclass(slots=True)
 class Run:
-    """A run that is out. `expected_ms` is 0.0 where its client's durations are not known yet."""
+    """An active run. `expected_ms` is 0.0 while its client's durations are unknown; `slowdown` is the factor
+    for distant data."""
 
     task: str
     instance: str
     started_ms: int
     expected_ms: float
-    far: float
+    slowdown: float
     alarm: float = FIRST_ALARM
 
 
 class RunTable:
-    """Runs by task and instance (speculative copies run side by side)."""
+    """Active runs by task and instance (speculative copies of a task run concurrently)."""
 
     def __init__(self) -> None:
         self._runs: OrderedDict[tuple[str, str], Run] = OrderedDict()
         self._alarms: list[tuple[float, str, str]] = []
 
     def add(self, run: Run) -> None:
-        """A run was ordered."""
+        """Add a run that was ordered."""
         key = (run.task, run.instance)
         self._runs.pop(key, None)
         self._runs[key] = run
-        if len(self._runs) > MOST_RUNS:
+        if len(self._runs) > MAX_RUNS:
             self._runs.popitem(last=False)
         self._set_alarm(run)
 
     def remove(self, task: str, instance: str) -> Run | None:
-        """It ended, in whatever way."""
+        """Remove a run that ended, whatever its result."""
         return self._runs.pop((task, instance), None)
 
     def forget(self, instance: str) -> None:
-        """The worker is gone, and so are its runs."""
+        """Drop the runs of a worker that no longer exists."""
         for key in [key for key in self._runs if key[1] == instance]:
             del self._runs[key]
 
     def overdue(self, now_ms: int) -> list[Run]:
-        """Runs that have passed an alarm since the last call; their next alarm is set."""
+        """Runs whose alarm has expired since the last call; sets their next alarm."""
         found = []
         while self._alarms and self._alarms[0][0] <= now_ms:
             at_ms, task, instance = heapq.heappop(self._alarms)
             run = self._runs.get((task, instance))
             if run is None or run.started_ms + run.expected_ms * run.alarm > now_ms:
-                continue  # ended, or a later run of the same task, which has an alarm of its own
+                continue  # ended, or replaced by a later run of the same task, which has its own alarm
             found.append(run)
             run.alarm *= 2.0
             if run.alarm <= LAST_ALARM:
@@ -67,6 +68,6 @@
         return found
 
     def _set_alarm(self, run: Run) -> None:
-        if run.expected_ms > 0.0 and len(self._alarms) < 2 * MOST_RUNS:
+        if run.expected_ms > 0.0 and len(self._alarms) < 2 * MAX_RUNS:
             at_ms = run.started_ms + run.expected_ms * run.alarm
             heapq.heappush(self._alarms, (at_ms, run.task, run.instance))
--- a/flintfield/placement/speeds.py
+++ b/flintfield/placement/speeds.py
@@ -1,10 +1,10 @@
-"""ζ: how fast a worker is, against the mean of all workers, from smoothed completion times.
+"""ζ: the speed of a worker relative to the mean of all workers, from smoothed completion times.
 
-A completion says ln(ran / estimate). A client's estimates have an error of their own, so what is kept of a
-worker is its distance from the client's mean (in logarithms, where half and double speed weigh alike). A
-worker's mean is drawn to 0 (the mean of all) by a prior, and evidence loses half of its weight in
-`HALF_LIFE_MS`: a worker that was slow once, and therefore gets nothing to show, comes back to the mean and
-is tried again.
+Each completion yields ln(ran / estimate). A client's estimates are biased, so a worker is measured by its
+deviation from the client's mean (in logarithms, where half and double speed weigh the same). A prior pulls a
+worker's mean towards 0 (the mean of all workers), and the weight of evidence halves every `HALF_LIFE_MS`: a
+worker that was slow once, and therefore gets no tasks to prove otherwise, returns to the mean and is tried
+again.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from dataclasses import dataclass
 
 HALF_LIFE_MS = 15_000.0  # slow spells last some 7 s; tasks take 1 to 12 s
-PRIOR = 3.0  # completions; variance of an estimate (0.4² to 0.5²) by that of sound workers' speeds (0.25²)
-BOUND = math.log(8.0)  # one completion says no more than eight times as fast or slow
-CLIENT_STEP = 0.05  # by which a client's mean follows a completion, once it has been seen 20 times
-CLIENT_LEAST = 3  # completions before a client's mean counts
-MOST_CLIENTS = 1_024  # the eldest is dropped
+PRIOR_WEIGHT = 3.0  # in completions: variance of estimates (0.4² to 0.5²) / that of healthy speeds (0.25²)
+MAX_LOG_RATIO = math.log(8.0)  # one completion counts as at most eight times as fast or slow
+CLIENT_GAIN = 0.05  # weight of a completion in its client's mean, from the 20th completion on
+CLIENT_MIN_COMPLETIONS = 3  # before a client's mean is used
+MAX_CLIENTS = 1_024  # beyond this the oldest entry is dropped
 
 
 @dataclass(slots=True)
-class _Level:
-    """Weighted mean of a worker's ln(slowness), its weight, and when it was that."""
+class _SlownessEstimate:
+    """Weighted mean of a worker's ln(slowness), its weight, and the time of its last update."""
 
     mean: float
     weight: float
-    at_ms: int
+    updated_ms: int
 
 
 @dataclass(slots=True)
@@ -36,68 +36,74 @@
 
 
 class SpeedTable:
-    """ζ for each worker; 1.0 is the mean, and what a worker without a measurement has."""
+    """ζ for each worker; 1.0 is the mean and the value of a worker without measurements."""
 
     def __init__(self) -> None:
-        self.zeta: dict[str, float] = {}  # as of the last refresh or observation; whoever is missing has 1.0
-        self._levels: dict[str, _Level] = {}
+        self.zeta: dict[str, float] = {}  # as of the last refresh or observation; a missing worker has 1.0
+        self._estimates: dict[str, _SlownessEstimate] = {}
         self._clients: dict[str, _ClientMean] = {}
 
     def client_scale(self, client: str) -> float | None:
-        """Mean completion time per unit of estimate of this client's tasks; None while it is not known."""
-        known = self._clients.get(client)
-        return math.exp(known.mean) if known is not None and known.count >= CLIENT_LEAST else None
+        """Mean completion time per unit of estimate of this client's tasks; None while unknown."""
+        client_mean = self._clients.get(client)
+        return (
+            math.exp(client_mean.mean)
+            if client_mean is not None and client_mean.count >= CLIENT_MIN_COMPLETIONS
+            else None
+        )
 
     def note_done(self, instance: str, client: str, ratio: float, now_ms: int) -> None:
-        """A task completed in `ratio` times its estimate (far data allowed for)."""
+        """Record that a task completed in `ratio` times its estimate (corrected for distant data)."""
         scale = self.client_scale(client)
         if scale is not None:
             self.note_slowness(instance, ratio / scale, 1.0, now_ms)
-        self._learn_client(client, _bounded(math.log(ratio)))
+        self._learn_client(client, _clamp_log_ratio(math.log(ratio)))
 
     def note_slowness(self, instance: str, slowness: float, weight: float, now_ms: int) -> None:
-        """Evidence of that weight (1.0: one completion) that it takes `slowness` times the mean."""
-        level = self._levels.get(instance)
-        if level is None:
-            level = self._levels[instance] = _Level(0.0, 0.0, now_ms)
-        _age(level, now_ms)
-        total = level.weight + weight
-        level.mean = (level.mean * level.weight + _bounded(math.log(slowness)) * weight) / total
-        level.weight = total
-        self.zeta[instance] = _zeta(level)
+        """Record evidence of `weight` (1.0: one completion) that a worker takes `slowness` times the mean."""
+        estimate = self._estimates.get(instance)
+        if estimate is None:
+            estimate = self._estimates[instance] = _SlownessEstimate(0.0, 0.0, now_ms)
+        _decay(estimate, now_ms)
+        total = estimate.weight + weight
+        estimate.mean = (
+            estimate.mean * estimate.weight + _clamp_log_ratio(math.log(slowness)) * weight
+        ) / total
+        estimate.weight = total
+        self.zeta[instance] = _zeta(estimate)
 
     def refresh(self, instance: str, now_ms: int) -> None:
-        """Let the evidence age."""
-        level = self._levels.get(instance)
-        if level is not None:
-            _age(level, now_ms)
-            self.zeta[instance] = _zeta(level)
+        """Decay the weight of the evidence up to `now_ms`."""
+        estimate = self._estimates.get(instance)
+        if estimate is not None:
+            _decay(estimate, now_ms)
+            self.zeta[instance] = _zeta(estimate)
 
     def forget(self, instance: str) -> None:
-        """The worker is gone."""
-        self._levels.pop(instance, None)
+        """Drop the state of a worker that no longer exists."""
+        self._estimates.pop(instance, None)
         self.zeta.pop(instance, None)
 
     def _learn_client(self, client: str, log_ratio: float) -> None:
-        known = self._clients.get(client)
-        if known is None:
-            if len(self._clients) >= MOST_CLIENTS:
+        client_mean = self._clients.get(client)
+        if client_mean is None:
+            if len(self._clients) >= MAX_CLIENTS:
                 del self._clients[next(iter(self._clients))]
-            known = self._clients[client] = _ClientMean()
-        known.count += 1
-        known.mean += (log_ratio - known.mean) * max(CLIENT_STEP, 1.0 / known.count)
+            client_mean = self._clients[client] = _ClientMean()
+        client_mean.count += 1
+        client_mean.mean += (log_ratio - client_mean.mean) * max(CLIENT_GAIN, 1.0 / client_mean.count)
 
 
-def _bounded(log_ratio: float) -> float:
-    return min(BOUND, max(-BOUND, log_ratio))
+def _clamp_log_ratio(log_ratio: float) -> float:
+    return min(MAX_LOG_RATIO, max(-MAX_LOG_RATIO, log_ratio))
 
 
-def _age(level: _Level, now_ms: int) -> None:
-    passed = now_ms - level.at_ms
-    if passed > 0:
-        level.weight *= 0.5 ** (passed / HALF_LIFE_MS)
-        level.at_ms = now_ms
+def _decay(estimate: _SlownessEstimate, now_ms: int) -> None:
+    elapsed_ms = now_ms - estimate.updated_ms
+    if elapsed_ms > 0:
+        estimate.weight *= 0.5 ** (elapsed_ms / HALF_LIFE_MS)
+        estimate.updated_ms = now_ms
 
 
-def _zeta(level: _Level) -> float:
-    return math.exp(-level.mean * level.weight / (level.weight + PRIOR))
+def _zeta(estimate: _SlownessEstimate) -> float:
+    return math.exp(-estimate.mean * estimate.weight / (estimate.weight + PRIOR_WEIGHT))
--- a/tests/system/test_placement_learning.py
+++ b/tests/system/test_placement_learning.py
@@ -1,4 +1,4 @@
-"""What the market learns: prices from load, speeds from completions, trust from ends; and how it draws."""
+"""State that the market learns (prices, speeds, trust), and random draws by shares."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from flintfield.placement.speeds import SpeedTable
 from flintfield.placement.waiting import WaitingTable
 
-WHOLE = Resources(32_000, 65_536, 8)
+FULL_CAPACITY = Resources(32_000, 65_536, 8)
 
 
-def worker(name: str, rack: str = "r0", capacity: Resources = WHOLE) -> Worker:
+def worker(name: str, rack: str = "r0", capacity: Resources = FULL_CAPACITY) -> Worker:
     return Worker(name, name, "render", "zone", frozenset({rack}), rack, capacity)
 
 
 def fleet(count: int) -> dict[str, Worker]:
-    return {f"w{at:02d}": worker(f"w{at:02d}", f"r{at // 3}") for at in range(count)}
+    return {f"w{index:02d}": worker(f"w{index:02d}", f"r{index // 3}") for index in range(count)}
 
 
 def demand(task: str, **more: object) -> Demand:
@@ -41,62 +41,62 @@
 
 class Prices(unittest.TestCase):
     def test_given_load_above_rho_when_stepped_then_the_price_rises_and_below_it_falls_to_zero(self) -> None:
-        table, one = PriceTable(), worker("w")
-        table.step(one, 0)
-        one.used = Resources(32_000, 0, 0)
-        table.step(one, 1_000)
+        table, target = PriceTable(), worker("w")
+        table.step(target, 0)
+        target.used = Resources(32_000, 0, 0)
+        table.step(target, 1_000)
         self.assertAlmostEqual(table.price("w"), 1.0 - RHO)
-        one.used = Resources()
-        table.step(one, 2_000)
+        target.used = Resources()
+        table.step(target, 2_000)
         self.assertEqual(table.price("w"), 0.0)
 
-    def test_given_the_scarcest_resource_when_looked_at_then_it_is_the_load(self) -> None:
-        table, one = PriceTable(), worker("w")
-        table.step(one, 0)
-        one.used = Resources(8_000, 0, 6)
-        table.step(one, 100)
+    def test_given_several_resources_when_stepped_then_the_scarcest_determines_the_load(self) -> None:
+        table, target = PriceTable(), worker("w")
+        table.step(target, 0)
+        target.used = Resources(8_000, 0, 6)
+        table.step(target, 100)
         self.assertAlmostEqual(table.load("w"), 0.75)
 
-    def test_given_no_free_room_ever_seen_when_looked_at_then_the_load_is_one(self) -> None:
-        table, one = PriceTable(), worker("w")
-        one.used = WHOLE
-        table.step(one, 0)
+    def test_given_no_free_room_ever_seen_when_stepped_then_the_load_is_one(self) -> None:
+        table, target = PriceTable(), worker("w")
+        target.used = FULL_CAPACITY
+        table.step(target, 0)
         self.assertEqual(table.load("w"), 1.0)
 
-    def test_given_no_fresh_word_when_stepped_then_the_price_is_kept(self) -> None:
-        table, one = PriceTable(), worker("w")
-        one.used = WHOLE
-        table.step(one, 0)
-        table.step(one, 500)
-        before = table.price("w")
-        one.ready, one.used = False, Resources()
-        table.step(one, 5_000)
-        self.assertGreater(before, 0.0)
-        self.assertEqual(table.price("w"), before)
+    def test_given_a_worker_that_is_not_ready_when_stepped_then_the_price_is_kept(self) -> None:
+        table, target = PriceTable(), worker("w")
+        target.used = FULL_CAPACITY
+        table.step(target, 0)
+        table.step(target, 500)
+        previous = table.price("w")
+        target.ready, target.used = False, Resources()
+        table.step(target, 5_000)
+        self.assertGreater(previous, 0.0)
+        self.assertEqual(table.price("w"), previous)
 
 
 class Speeds(unittest.TestCase):
     def test_given_completions_when_one_worker_takes_twice_as_long_then_its_zeta_is_lower(self) -> None:
         table = SpeedTable()
-        for at in range(30):
-            table.note_done("fast", "queue", 1.0, at)
-            table.note_done("slow", "queue", 2.0, at)
+        for index in range(30):
+            table.note_done("fast", "queue", 1.0, index)
+            table.note_done("slow", "queue", 2.0, index)
         self.assertLess(table.zeta["slow"], 0.8)
         self.assertGreater(table.zeta["fast"], 1.2)
-        self.assertNotIn("unmeasured", table.zeta)  # takes the mean, 1.0
+        self.assertNotIn("unmeasured", table.zeta)  # defaults to the mean, 1.0
 
-    def test_given_a_client_that_guesses_badly_when_measured_then_no_worker_is_blamed(self) -> None:
+    def test_given_a_client_with_biased_estimates_when_measured_then_no_worker_counts_as_slow(self) -> None:
         table = SpeedTable()
-        for at in range(40):
-            table.note_done(f"w{at % 4}", "optimist", 5.0, at)
+        for index in range(40):
+            table.note_done(f"w{index % 4}", "optimist", 5.0, index)
         self.assertTrue(all(0.95 < zeta < 1.05 for zeta in table.zeta.values()))
 
-    def test_given_old_evidence_when_it_ages_then_zeta_returns_to_the_mean(self) -> None:
+    def test_given_old_evidence_when_it_decays_then_zeta_returns_to_the_mean(self) -> None:
         table = SpeedTable()
         table.note_slowness("w", 6.5, 4.0, 0)
-        before = table.zeta["w"]
+        previous = table.zeta["w"]
         table.refresh("w", 120_000)
-        self.assertLess(before, 0.5)
+        self.assertLess(previous, 0.5)
         self.assertGreater(table.zeta["w"], 0.95)
 
     def test_given_a_run_that_does_not_end_when_overdue_then_alarms_at_two_four_and_eight(self) -> None:
@@ -118,136 +118,136 @@
         self.assertEqual(worths, sorted(worths, reverse=True))
         self.assertGreater(worths[-1], 0.0)
 
-    def test_given_prices_when_solved_then_the_dear_and_the_slow_get_less(self) -> None:
+    def test_given_prices_when_solved_then_expensive_and_slow_workers_get_less(self) -> None:
         table, key = ShareTable(), ("queue", "render", 0)
-        goods = [(0.0, 1.0), (0.02, 1.0), (0.0, 0.95), (0.0, 1.0)]
-        table.solve(key, goods, 0)
-        shares = table.shares(key, goods)
+        price_speeds = [(0.0, 1.0), (0.02, 1.0), (0.0, 0.95), (0.0, 1.0)]
+        table.solve(key, price_speeds, 0)
+        shares = table.shares(key, price_speeds)
         self.assertAlmostEqual(sum(shares), 4.0, delta=0.01)
         self.assertLess(shares[1], shares[0])
         self.assertLess(shares[2], shares[0])
 
-    def test_given_only_workers_of_no_share_when_drawn_then_the_problem_is_solved_among_them(self) -> None:
+    def test_given_only_workers_of_zero_share_when_computed_then_shares_are_solved_among_them(self) -> None:
         table, key = ShareTable(), ("queue", "render", 0)
         table.solve(key, [(0.0, 1.0)] * 3 + [(0.4, 0.3)], 0)
         self.assertGreater(table.shares(key, [(0.4, 0.3)])[0], 0.0)
 
     def test_given_room_everywhere_when_one_worker_is_fast_then_it_gets_most_until_it_is_full(self) -> None:
         market, workers = Market(3), fleet(4)
-        for at in range(40):
+        for index in range(40):
             for name in workers:
                 ran_ms = 500.0 if name == "w01" else 1_000.0
-                market.note_end(demand(f"x{at}.0.0.0"), name, Result.DONE, ran_ms, at)
-        drawn = [market.choose(demand(f"y{at}.0.0.0"), workers, 100) for at in range(100)]
+                market.note_end(demand(f"x{index}.0.0.0"), name, Result.DONE, ran_ms, index)
+        drawn = [market.choose(demand(f"y{index}.0.0.0"), workers, 100) for index in range(100)]
         self.assertGreater(drawn.count("w01"), 90)
-        workers["w01"].used = WHOLE
-        drawn = [market.choose(demand(f"z{at}.0.0.0"), workers, 200) for at in range(100)]
+        workers["w01"].used = FULL_CAPACITY
+        drawn = [market.choose(demand(f"z{index}.0.0.0"), workers, 200) for index in range(100)]
         self.assertEqual(set(drawn), {"w00", "w02", "w03"})
 
-    def test_given_the_same_seed_when_asked_the_same_then_the_answers_are_the_same(self) -> None:
-        def answers() -> list[str | None]:
+    def test_given_the_same_seed_and_calls_then_the_choices_are_the_same(self) -> None:
+        def choices() -> list[str | None]:
             market, workers = Market(7), fleet(70)
-            return [market.choose(demand(f"j{at}.0.0.0"), workers, at) for at in range(50)]
+            return [market.choose(demand(f"j{index}.0.0.0"), workers, index) for index in range(50)]
 
-        self.assertEqual(answers(), answers())
+        self.assertEqual(choices(), choices())
 
 
 class Health(unittest.TestCase):
-    def quarantined(self) -> HealthTable:
+    def table_with_quarantine(self) -> HealthTable:
         table = HealthTable(random.Random(1))
-        for at in range(2):
-            table.note_failure("w", "render", f"bad{at}.0.0.0", False, 6, 0)
+        for index in range(2):
+            table.note_failure("w", "render", f"bad{index}.0.0.0", False, 6, 0)
         return table
 
     def test_given_failures_of_one_job_when_it_never_succeeded_then_its_workers_stay_trusted(self) -> None:
         table = HealthTable(random.Random(1))
-        for at in range(4):
-            table.note_failure("w", "render", f"poison.0.0.{at}", False, 6, 0)
+        for index in range(4):
+            table.note_failure("w", "render", f"poison.0.0.{index}", False, 6, 0)
         self.assertTrue(table.trusted("w"))
 
     def test_given_quarantine_when_a_probe_fails_then_the_back_off_grows_and_success_ends_it(self) -> None:
-        table = self.quarantined()
+        table = self.table_with_quarantine()
         self.assertFalse(table.trusted("w"))
         self.assertEqual(table.due_for_probe("render", 1_000), [])
         self.assertEqual(table.due_for_probe("render", 2_000), ["w"])
         table.note_start("w", "probe.0.0.0", 100, 2_000)
-        self.assertEqual(table.due_for_probe("render", 2_100), [])  # a single run
+        self.assertEqual(table.due_for_probe("render", 2_100), [])  # only one probing run at a time
         table.note_failure("w", "render", "probe.0.0.0", False, 6, 2_100)
-        self.assertEqual(table.due_for_probe("render", 4_100), [])  # twice as long
+        self.assertEqual(table.due_for_probe("render", 4_100), [])  # the back-off has doubled
         self.assertEqual(table.due_for_probe("render", 6_000), ["w"])
         table.note_start("w", "again.0.0.0", 100, 6_000)
         table.note_success("w", "render", "again.0.0.0", 6_100)
         self.assertTrue(table.trusted("w"))
 
-    def test_given_a_probe_without_an_end_when_its_time_is_over_then_another_may_be_sent(self) -> None:
-        table = self.quarantined()
+    def test_given_a_probe_that_does_not_end_when_it_times_out_then_another_may_be_sent(self) -> None:
+        table = self.table_with_quarantine()
         table.note_start("w", "probe.0.0.0", 100, 2_000)
         self.assertEqual(table.due_for_probe("render", 5_000), ["w"])
 
-    def suspected(self, ends_a_s: int) -> int:
-        """How many quarantines a minute of work brings to ten sound workers: one run in twenty fails."""
+    def false_quarantines(self, ends_per_s: int) -> int:
+        """Quarantines among ten healthy workers in one minute, where one run in twenty fails."""
         generator, table = random.Random(5), HealthTable(random.Random(5))
-        for at in range(60 * ends_a_s):
-            name, now = f"w{generator.randrange(10)}", at * 1_000 // ends_a_s
+        for index in range(60 * ends_per_s):
+            name, now = f"w{generator.randrange(10)}", index * 1_000 // ends_per_s
             if generator.random() < 0.05:
-                table.note_failure(name, "render", f"j{at}.0.0.0", False, 10, now)
+                table.note_failure(name, "render", f"j{index}.0.0.0", False, 10, now)
             else:
-                table.note_success(name, "render", f"j{at}.0.0.0", now)
+                table.note_success(name, "render", f"j{index}.0.0.0", now)
         return table.quarantines
 
-    def test_given_short_runs_that_fail_by_themselves_then_sound_workers_are_hardly_out(
+    def test_given_short_runs_with_a_base_failure_rate_then_few_healthy_workers_are_quarantined(
         self,
     ) -> None:
-        self.assertLessEqual(self.suspected(ends_a_s=50), 1)
+        self.assertLessEqual(self.false_quarantines(ends_per_s=50), 1)
 
-    def test_given_a_sick_worker_among_many_short_runs_then_it_is_out_after_some_failures(self) -> None:
+    def test_given_a_faulty_worker_among_many_short_runs_then_some_failures_quarantine_it(self) -> None:
         table = HealthTable(random.Random(1))
-        for at in range(500):
-            table.note_success(f"w{at % 10}", "render", f"j{at}.0.0.0", at * 20)
-        for at in range(4):
-            table.note_failure("w3", "render", f"k{at}.0.0.0", False, 10, 10_000 + at)
+        for index in range(500):
+            table.note_success(f"w{index % 10}", "render", f"j{index}.0.0.0", index * 20)
+        for index in range(4):
+            table.note_failure("w3", "render", f"k{index}.0.0.0", False, 10, 10_000 + index)
         self.assertEqual({"w3"}, table.untrusted("render"))
 
     @given(st.integers(1, 12), st.integers(0, 1_000))
     @settings(max_examples=60, deadline=None)
-    def test_at_most_a_third_of_a_service_is_ever_out_of_trust(self, count: int, seed: int) -> None:
+    def test_at_most_a_third_of_a_service_is_ever_untrusted(self, count: int, seed: int) -> None:
         generator, table = random.Random(seed), HealthTable(random.Random(seed))
-        for at in range(200):
+        for index in range(200):
             name = f"w{generator.randrange(count)}"
-            table.note_failure(name, "render", f"j{at}.0.0.0", False, count, at)
-            table.note_success(name, "render", f"k{at}.0.0.0", at)
+            table.note_failure(name, "render", f"j{index}.0.0.0", False, count, index)
+            table.note_success(name, "render", f"k{index}.0.0.0", index)
             self.assertLessEqual(len(table.untrusted("render")), count // 3)
 
-    def test_given_only_avoided_workers_when_the_wait_is_over_then_they_are_the_last_resort(self) -> None:
+    def test_given_only_avoided_workers_have_room_when_the_wait_is_over_then_one_is_chosen(self) -> None:
         market, workers = Market(1), fleet(2)
-        workers["w01"].used = WHOLE
-        wanted = demand("t.0.0.0", avoid=frozenset({"w00"}))
-        self.assertIsNone(market.choose(wanted, workers, 0))
-        self.assertIsNone(market.choose(wanted, workers, 1_999))
-        self.assertEqual(market.choose(wanted, workers, 2_000), "w00")
+        workers["w01"].used = FULL_CAPACITY
+        task_demand = demand("t.0.0.0", avoid=frozenset({"w00"}))
+        self.assertIsNone(market.choose(task_demand, workers, 0))
+        self.assertIsNone(market.choose(task_demand, workers, 1_999))
+        self.assertEqual(market.choose(task_demand, workers, 2_000), "w00")
 
-    def test_given_no_other_worker_when_it_is_avoided_then_it_is_taken_at_once(self) -> None:
+    def test_given_no_other_worker_when_it_is_avoided_then_it_is_chosen_at_once(self) -> None:
         market, workers = Market(1), fleet(1)
         self.assertEqual(market.choose(demand("t.0.0.0", avoid=frozenset({"w00"})), workers, 0), "w00")
 
-    def test_given_a_table_that_is_full_when_more_wait_then_the_eldest_is_dropped(self) -> None:
+    def test_given_a_full_waiting_table_when_more_tasks_wait_then_the_oldest_is_dropped(self) -> None:
         table = WaitingTable()
-        for at in range(5_000):
-            table.may_wait(f"t{at}", 1_000.0, 0)
+        for index in range(5_000):
+            table.may_wait(f"t{index}", 1_000.0, 0)
         self.assertFalse(table.may_wait("t4999", 1_000.0, 1_000))
         self.assertTrue(table.may_wait("t0", 1_000.0, 1_000))
 
 
 class Distance(unittest.TestCase):
-    def test_given_data_on_a_rack_when_it_has_room_then_the_task_goes_there_and_else_elsewhere(self) -> None:
-        for count in (6, 90):  # looked at whole; from a random place onwards
+    def test_given_data_on_a_rack_when_it_has_room_then_the_task_goes_there_else_to_another(self) -> None:
+        for count in (6, 90):  # a group scanned completely; one scanned from a random position
             market, workers = Market(1), fleet(count)
-            wanted = demand("t.0.0.0", affinity="r1")
-            chosen = {market.choose(wanted, workers, at) for at in range(30)}
+            task_demand = demand("t.0.0.0", affinity="r1")
+            chosen = {market.choose(task_demand, workers, index) for index in range(30)}
             self.assertLessEqual(chosen, {"w03", "w04", "w05"}, count)
             for name in ("w03", "w04", "w05"):
-                workers[name].used = WHOLE
-            self.assertIsNotNone(market.choose(wanted, workers, 100))
+                workers[name].used = FULL_CAPACITY
+            self.assertIsNotNone(market.choose(task_demand, workers, 100))
 
 
 class Capacity(unittest.TestCase):
@@ -256,36 +256,36 @@
         st.integers(0, 99),
     )
     @settings(max_examples=60, deadline=None)
-    def test_tasks_and_gangs_never_bring_a_worker_over_its_capacity(
+    def test_gangs_never_exceed_the_capacity_of_a_worker(
         self, jobs: list[tuple[int, int, bool]], seed: int
     ) -> None:
         market, workers = Market(seed), fleet(5)
-        for at, (width, gpu, together) in enumerate(jobs):
+        for index, (width, gpu, together) in enumerate(jobs):
             gang = [
                 demand(
-                    f"j{at}.0.0.{member}",
+                    f"j{index}.0.0.{member}",
                     resources=Resources(6_500, 9_600, gpu),
                     together=together,
                     at_most=2,
-                    group=(f"j{at}", 0, 0),
+                    group=(f"j{index}", 0, 0),
                 )
                 for member in range(width)
             ]
-            placed = market.choose_gang(gang, workers, at * 10)
+            placed = market.choose_gang(gang, workers, index * 10)
             if placed is None:
                 continue
             for member, name in zip(gang, placed, strict=True):
-                one = workers[name]
-                one.used = one.used.plus(member.resources)
-                one.held[member.group] = one.held.get(member.group, 0) + 1
-                market.note_start(member, name, at * 10)
-                self.assertTrue(one.used.fits(one.capacity))
-                self.assertLessEqual(one.held[member.group], 2)
-
-    def test_given_a_large_full_fleet_when_room_comes_free_then_a_new_instant_finds_it(self) -> None:
+                target = workers[name]
+                target.used = target.used.plus(member.resources)
+                target.held[member.group] = target.held.get(member.group, 0) + 1
+                market.note_start(member, name, index * 10)
+                self.assertTrue(target.used.fits(target.capacity))
+                self.assertLessEqual(target.held[member.group], 2)
+
+    def test_given_a_large_full_fleet_when_room_becomes_free_then_the_next_instant_finds_it(self) -> None:
         market, workers = Market(1), fleet(90)
-        for one in workers.values():
-            one.used = WHOLE
+        for target in workers.values():
+            target.used = FULL_CAPACITY
         self.assertIsNone(market.choose(demand("a.0.0.0"), workers, 0))
         workers["w07"].used = Resources()
         self.assertEqual(market.choose(demand("b.0.0.0"), workers, 1), "w07")
