--- a/flintfield/forwarding/__init__.py
+++ b/flintfield/forwarding/__init__.py
@@ -1,9 +1,9 @@
-"""Forwarding: what a forwarder does with plans, and what it tells planners.
+"""Forwarding: how a forwarder uses plans, and the digests it sends to planners.
 
-Rules. Pure: no I/O, no clock but the time handed in. A forwarder keeps all four rules alone, with the
-decision module it always had; a plan is an input to it, which it may lose at any moment.
+Rules. Pure: no I/O and no clock; the time is passed in. A forwarder satisfies all four rules without
+planners, through its decision module; a plan is an optional input to that module and may be lost at any time.
 
-Theory of operation. `core.Forwarding` keeps the last good plan of each planner and follows one. The weight
-of a plan falls evenly from 1, when it answers a digest of this moment, to 0 at its end, and with it all
-that the plan does in the module: there is no moment at which behaviour jumps.
+Theory of operation. `core.Forwarding` keeps the last valid plan of each planner and follows one planner. The
+weight of a plan is 1 while it is fresh and then falls linearly to 0 at its expiry. All effects of the plan in
+the decision module scale with this weight, so behaviour never changes abruptly.
 """
--- a/flintfield/forwarding/bridge.py
+++ b/flintfield/forwarding/bridge.py
@@ -1,4 +1,4 @@
-"""Between plans and the decision module: plans as its events, and what it knows as digests."""
+"""Converts plans to events of the decision module, and the state of that module to digests."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from flintfield.decision.interface import PlanNews, PlanRow
 from flintfield.decision.planned import Planned
-from flintfield.forwarding.core import FRESH_MS, Forwarding
+from flintfield.forwarding.core import FULL_WEIGHT_MS, Forwarding
 from flintfield.planning.messages import Digest, Plan, Seen
 
 
 def news_of(now: float, plan: Plan) -> PlanNews:
-    """A plan in force as the module's event; times on the forwarder's clock, `now` when it came."""
+    """A plan in force as an event of the decision module; times are on the forwarder's clock."""
     rows = tuple(PlanRow(r.worker, r.share, r.price, r.others, r.most, r.pace,
                          plan.answers - r.heard_ms if r.heard_ms >= 0 else -math.inf, r.is_home)
                  for r in plan.rows)
-    full_until = plan.answers + min(FRESH_MS, plan.valid_ms / 2)
+    full_until = plan.answers + min(FULL_WEIGHT_MS, plan.valid_ms / 2)
     return PlanNews(full_until, plan.answers + plan.valid_ms, rows,
-                    tuple((x.worker, x.part) for x in plan.leases))
+                    tuple((lease.worker, lease.part) for lease in plan.leases))
 
 
 def digest_of(now: float, dispatcher: Planned, forwarding: Forwarding) -> Digest:
-    """What the forwarder tells planners now."""
+    """The digest that the forwarder sends to planners now."""
     seen = [Seen(w.entry.worker, round(w.mine, 3), w.most, round(w.pace.value, 4) if w.pace.count else 0.0,
                  round(now - w.word) if w.word > -math.inf else -1.0, is_home)
             for w, is_home in dispatcher.seen()]
--- a/flintfield/planning/planner.py
+++ b/flintfield/planning/planner.py
@@ -1,17 +1,18 @@
-"""One planner: digests and discovery's list in, plans out.
+"""One planner: takes digests and the worker list from discovery, and returns plans.
 
 Rules. All state is in `Planner`; `hear`, `list_workers` and `step` change it, `plan_for` answers one digest.
-Times are on the planner's own clock but for what stands in a digest or plan. Bounded: MOST_FORWARDERS and
-MOST_WORKERS; who was not heard for FORGET_MS is forgotten.
-
-Theory of operation. `held` at a worker is the sum over forwarders of their latest words. `step`, a few
-times a second, steps the prices and settles the homes. A new life listens for LISTEN_MS before it publishes
-anything; by then all forwarders' claims of homes have come, so it goes on with the homes that stand. Leases
-come later still, after `leases.quiet_ms`. Planners do not talk with each other: each hears all digests, and
-those that are not followed learn the homes from the claims, so a change of planner moves nothing.
-
-A planner that is slower than its period answers only each forwarder's latest digest (the shell keeps one),
-and skips periods; plans then age, which forwarders handle as always.
+Times are on the planner's own clock, except those in digests and plans. Bounded: MAX_FORWARDERS and
+MAX_WORKERS; a forwarder that sent no digest for FORGET_MS is dropped.
+
+Theory of operation. `held` of a worker is the sum over the latest digests of all forwarders. `step`, called a
+few times a second, updates the prices and assigns the homes. A new incarnation only listens for LISTEN_MS
+before it publishes anything; by then it has received all forwarders' claims of homes, so it continues with
+the existing homes. Leases start later, after `leases.quiet_ms`. Planners do not communicate with each other:
+each receives all digests, and those that are not followed learn the homes from the claims, so a change of
+planner moves no homes.
+
+A planner that is slower than its period answers only the latest digest of each forwarder (the caller keeps
+one) and skips periods; plans then age, which forwarders handle as usual.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from dataclasses import dataclass, field
 
 from flintfield.planning.leases import LEASE_MS, Leases
-from flintfield.planning.market import RHO, settle_homes, shares, step_price
+from flintfield.planning.market import RHO, assign_homes, shares, step_price
 from flintfield.planning.messages import (
-    MOST_ROWS, VALID_MS, Digest, Lease, Plan, Row, Seen, check_digest, sealed,
+    MOST_ROWS, VALID_MS, Digest, Lease, Plan, Row, Seen, check_digest, with_proof,
 )
 
-MOST_FORWARDERS, MOST_WORKERS = 1_000, 20_000
-FORGET_MS = 5_000.0  # a forwarder's word counts for so long: some ten of its periods
-OVER_PART = 0.02  # of the shares: for workers that are others' homes
-OVERFLOW = 6  # of them in a plan: enough that one has room where all homes are full, few enough to know
-FLOOR = 0.5  # slots of demand that each forwarder counts with: one that starts gets homes before it has jobs
-LISTEN_MS = 1_200.0  # so long a new life only listens: some nine digests of each forwarder
+MAX_FORWARDERS, MAX_WORKERS = 1_000, 20_000
+FORGET_MS = 5_000.0  # how long a forwarder's digest counts: some ten of its periods
+OVERFLOW_SHARE = 0.02  # total share of workers that are homes of other forwarders
+OVERFLOW_WORKERS = 6  # per plan: enough that one has room if all homes are full, few enough to have data on
+MIN_DEMAND = 0.5  # slots counted per forwarder, so one that starts gets homes before it has jobs
+LISTEN_MS = 1_200.0  # how long a new incarnation only listens: some nine digests of each forwarder
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,187 +46,193 @@
 
 
 @dataclass(slots=True)
-class Known:
-    """What a planner knows of one worker, over all forwarders."""
+class WorkerState:
+    """A planner's data on one worker, from all forwarders."""
 
     listed: Listed
     price: float = 0.0
     most: float = 0.0
-    held: float = 0.0  # of all forwarders
+    held: float = 0.0  # by all forwarders
     held_by: dict[str, float] = field(default_factory=dict)
     pace: float = 0.0
     heard_at: float = -math.inf
 
 
 @dataclass(slots=True)
-class Teller:
-    """One forwarder's latest word."""
+class ForwarderState:
+    """One forwarder's latest digest."""
 
     digest: Digest
     heard_at: float
 
 
 class Planner:
-    """The state of one planner's life."""
+    """The state of one incarnation of a planner."""
 
     def __init__(self, place: int, planners: int, term: int, fall_ms: float, top_price: float = 1.0) -> None:
-        """`place` among the configured number of planners; `term` above that of any earlier life."""
-        self.place, self.term, self._top = place, term, top_price
+        """`place` is among the `planners` configured; `term` must exceed that of any earlier incarnation."""
+        self.place, self.term, self._top_price = place, term, top_price
         self.leases = Leases(planners, fall_ms)
-        self.workers: dict[int, Known] = {}
-        self.tellers: dict[str, Teller] = {}
+        self.workers: dict[int, WorkerState] = {}
+        self.tellers: dict[str, ForwarderState] = {}
         self.homes: dict[int, str] = {}
         self.number = 0
-        self._stepped = -math.inf
+        self._last_step_at = -math.inf
         self._quiet_until = math.inf
         self._claims: dict[int, str] = {}
-        self._own: dict[str, list[int]] = {}  # homes by forwarder
-        self._near_free: list[int] = []  # ready workers, the most free first
+        self._homes_by_forwarder: dict[str, list[int]] = {}
+        self._by_free_slots: list[int] = []  # ready workers, those with the most free slots first
 
     # ----------------------------------------------------------------- in
 
     def hear(self, now: float, digest: Digest) -> bool:
-        """Take a forwarder's word; False where it is older than one heard. Nonsense raises."""
+        """Process a digest; returns False if it is older than a known one or there are too many forwarders.
+
+        Raises a `NonsenseError` for an invalid digest.
+        """
         check_digest(digest)
-        before = self.tellers.get(digest.forwarder)
-        if before is not None and now - before.heard_at < FORGET_MS and (
-                digest.number <= before.digest.number and digest.at <= before.digest.at):
+        previous = self.tellers.get(digest.forwarder)
+        if previous is not None and now - previous.heard_at < FORGET_MS and (
+                digest.number <= previous.digest.number and digest.at <= previous.digest.at):
             return False
-        if before is None and len(self.tellers) >= MOST_FORWARDERS:
+        if previous is None and len(self.tellers) >= MAX_FORWARDERS:
             return False
         for place, term in digest.terms:
             if place == self.place and term > self.term:
-                # Our clock may stand behind that of an earlier life, as long as we have said nothing.
+                # Until the first plan, the cause may be a clock behind that of an earlier incarnation.
                 if self.number == 0 and self.is_listening(now):
                     self.term = term + 1
                 else:
                     self.leases.ended = True
-        self._drop_held(digest.forwarder)
-        self.tellers[digest.forwarder] = Teller(digest, now)
+        self._remove_held(digest.forwarder)
+        self.tellers[digest.forwarder] = ForwarderState(digest, now)
         for seen in digest.seen:
-            known = self.workers.get(seen.worker)
-            if known is not None:
-                self._see(now, known, seen, digest.forwarder)
+            worker_state = self.workers.get(seen.worker)
+            if worker_state is not None:
+                self._merge_seen(now, worker_state, seen, digest.forwarder)
         return True
 
-    def _see(self, now: float, known: Known, seen: Seen, forwarder: str) -> None:
+    def _merge_seen(self, now: float, worker_state: WorkerState, seen: Seen, forwarder: str) -> None:
         if seen.held > 0:
-            known.held_by[forwarder] = seen.held
-            known.held += seen.held
-        known.most = max(known.most, seen.most)
-        if seen.pace > 0 and (seen.is_home or known.pace <= 0):
-            known.pace = seen.pace
+            worker_state.held_by[forwarder] = seen.held
+            worker_state.held += seen.held
+        worker_state.most = max(worker_state.most, seen.most)
+        if seen.pace > 0 and (seen.is_home or worker_state.pace <= 0):
+            worker_state.pace = seen.pace
         if seen.heard_ms >= 0:
-            known.heard_at = max(known.heard_at, now - seen.heard_ms)
+            worker_state.heard_at = max(worker_state.heard_at, now - seen.heard_ms)
         if seen.is_home:
             self._claims[seen.worker] = forwarder
 
-    def _drop_held(self, forwarder: str) -> None:
-        teller = self.tellers.get(forwarder)
-        for seen in teller.digest.seen if teller else ():
-            known = self.workers.get(seen.worker)
-            if known is not None and forwarder in known.held_by:
-                known.held = max(0.0, known.held - known.held_by.pop(forwarder))
+    def _remove_held(self, forwarder: str) -> None:
+        state = self.tellers.get(forwarder)
+        for seen in state.digest.seen if state else ():
+            worker_state = self.workers.get(seen.worker)
+            if worker_state is not None and forwarder in worker_state.held_by:
+                worker_state.held = max(0.0, worker_state.held - worker_state.held_by.pop(forwarder))
 
     def list_workers(self, listed: Iterable[Listed]) -> None:
-        """Discovery's list, the whole of it."""
-        named: dict[int, Listed] = {}
+        """Replace the worker list by the complete list from discovery."""
+        listed_by_worker: dict[int, Listed] = {}
         for item in listed:
-            if len(named) < MOST_WORKERS:
-                named[item.worker] = item
-        for worker in self.workers.keys() - named.keys():
+            if len(listed_by_worker) < MAX_WORKERS:
+                listed_by_worker[item.worker] = item
+        for worker in self.workers.keys() - listed_by_worker.keys():
             del self.workers[worker]
-        for worker, item in named.items():
+        for worker, item in listed_by_worker.items():
             if worker in self.workers:
                 self.workers[worker].listed = item
             else:
-                self.workers[worker] = Known(item)
+                self.workers[worker] = WorkerState(item)
 
     # --------------------------------------------------------------- step
 
     def is_listening(self, now: float) -> bool:
-        """Whether this life has not heard for long enough to publish."""
+        """Whether this incarnation has not listened for long enough to publish."""
         return now < self._quiet_until
 
     def step(self, now: float) -> None:
-        """Step prices, settle homes and forget who is silent; to be called some times a second."""
-        passed = now - self._stepped
-        if passed > LEASE_MS:  # the first step, or this process stood still: others may have gone on
+        """Update prices, assign homes and drop silent forwarders; to be called several times a second."""
+        elapsed_ms = now - self._last_step_at
+        if elapsed_ms > LEASE_MS:  # the first step, or this process was suspended while others went on
             self._quiet_until = now + LISTEN_MS
-            passed = 0.0
-        self._stepped = now
+            elapsed_ms = 0.0
+        self._last_step_at = now
         self.leases.step(now)
-        for name in [n for n, t in self.tellers.items() if now - t.heard_at > FORGET_MS]:
-            self._drop_held(name)
+        for name in [n for n, state in self.tellers.items() if now - state.heard_at > FORGET_MS]:
+            self._remove_held(name)
             del self.tellers[name]
-        for known in self.workers.values():
-            demand = min(1.0, known.held / known.most) if known.most > 0 else RHO
-            known.price = step_price(known.price, passed, demand, self._top)
-        self._settle(4 if self.is_listening(now) else 50)
+        for worker_state in self.workers.values():
+            demand = min(1.0, worker_state.held / worker_state.most) if worker_state.most > 0 else RHO
+            worker_state.price = step_price(worker_state.price, elapsed_ms, demand, self._top_price)
+        self._assign_homes(4 if self.is_listening(now) else 50)
 
-    def _settle(self, steps: int) -> None:
-        """One home in so many may change hands: many before the first plan, few once others count on them.
+    def _assign_homes(self, move_divisor: int) -> None:
+        """Reassign up to one home in `move_divisor`: many before the first plan, few once in use.
 
-        Guards against the first forwarder that is heard of keeping the fleet for seconds.
+        Otherwise the first forwarder that sends a digest would keep the whole fleet for seconds.
         """
-        # Claims of plans that others gave stand where ours do not.
+        # Claims from other planners' plans apply to workers without a home here.
         for worker, name in self._claims.items():
             if worker in self.workers and name in self.tellers:
                 self.homes.setdefault(worker, name)
         self._claims.clear()
-        ready = {w: k for w, k in self.workers.items() if k.listed.is_ready}
-        slots = {w: max(1.0, k.most) for w, k in ready.items()}
-        demand = {n: max(FLOOR, t.digest.demand) for n, t in self.tellers.items()}
-        zone_of = {n: t.digest.zone for n, t in self.tellers.items()}
-        zone_at = {w: k.listed.zone for w, k in ready.items()}
-        settle_homes(self.homes, slots, demand, zone_of, zone_at, 1 + len(ready) // steps)
-        self.sort_homes()
-        self._near_free = sorted(ready, key=lambda w: (ready[w].held - slots[w], w))
-
-    def sort_homes(self) -> None:
-        """Have `homes` by forwarder too, so that a plan costs what it holds; after each change of them."""
-        self._own = {}
+        ready = {w: worker_state for w, worker_state in self.workers.items() if worker_state.listed.is_ready}
+        slots = {w: max(1.0, worker_state.most) for w, worker_state in ready.items()}
+        demand = {n: max(MIN_DEMAND, state.digest.demand) for n, state in self.tellers.items()}
+        zone_of_forwarder = {n: state.digest.zone for n, state in self.tellers.items()}
+        zone_of_worker = {w: worker_state.listed.zone for w, worker_state in ready.items()}
+        assign_homes(self.homes, slots, demand, zone_of_forwarder, zone_of_worker,
+                     1 + len(ready) // move_divisor)
+        self.index_homes()
+        self._by_free_slots = sorted(ready, key=lambda w: (ready[w].held - slots[w], w))
+
+    def index_homes(self) -> None:
+        """Index `homes` by forwarder, so a plan's cost depends on its own size; call after each change."""
+        self._homes_by_forwarder = {}
         for worker, name in sorted(self.homes.items()):
-            self._own.setdefault(name, []).append(worker)
+            self._homes_by_forwarder.setdefault(name, []).append(worker)
 
     # ---------------------------------------------------------------- out
 
     def plan_for(self, now: float, forwarder: str) -> Plan | None:
-        """A whole plan that answers the forwarder's latest digest; None while there is nothing to say."""
-        teller = self.tellers.get(forwarder)
-        if teller is None or self.is_listening(now) or self.leases.ended or not self.workers:
+        """A whole plan that answers the forwarder's latest digest; None while there is nothing to plan."""
+        state = self.tellers.get(forwarder)
+        if state is None or self.is_listening(now) or self.leases.ended or not self.workers:
             return None
-        own = [w for w in self._own.get(forwarder, ()) if w in self.workers][:MOST_ROWS - OVERFLOW]
-        over = self._overflow(forwarder, teller.digest.zone)
-        if not own and not over:
+        homes = [w for w in self._homes_by_forwarder.get(forwarder, ())
+                 if w in self.workers][:MOST_ROWS - OVERFLOW_WORKERS]
+        overflow = self._overflow(forwarder, state.digest.zone)
+        if not homes and not overflow:
             return None
         self.number += 1
-        rows = self._rows(now, forwarder, own, over)
-        leases = tuple(Lease(w, part) for w in own if self.workers[w].listed.is_cold
-                       and (part := self.leases.give(now, w, forwarder, self.leases.part)) > 0)
-        return sealed(Plan(self.place, self.term, self.number, teller.digest.at, min(VALID_MS, LEASE_MS),
+        rows = self._rows(now, forwarder, homes, overflow)
+        leases = tuple(Lease(w, part) for w in homes if self.workers[w].listed.is_cold
+                       and (part := self.leases.grant(now, w, forwarder, self.leases.part)) > 0)
+        return with_proof(Plan(self.place, self.term, self.number, state.digest.at, min(VALID_MS, LEASE_MS),
                            rows=tuple(rows), leases=leases))
 
     def _overflow(self, forwarder: str, zone: int) -> list[int]:
-        """Workers of others that are most free, each forwarder from another place of that order."""
-        free = [w for w in self._near_free[:8 * OVERFLOW + len(self._near_free) // 4]
+        """Other forwarders' workers with the most free slots, from a start that depends on the forwarder."""
+        free = [w for w in self._by_free_slots[:8 * OVERFLOW_WORKERS + len(self._by_free_slots) // 4]
                 if self.homes.get(w) != forwarder and not self.workers[w].listed.is_cold]
         if not free:
             return []
         start = sum(forwarder.encode()) * 7 % len(free)
-        turned = free[start:] + free[:start]
-        return sorted(turned, key=lambda w: self.workers[w].listed.zone != zone)[:OVERFLOW]
+        rotated = free[start:] + free[:start]
+        return sorted(rotated, key=lambda w: self.workers[w].listed.zone != zone)[:OVERFLOW_WORKERS]
 
-    def _rows(self, now: float, forwarder: str, own: list[int], over: list[int]) -> list[Row]:
+    def _rows(self, now: float, forwarder: str, homes: list[int], overflow: list[int]) -> list[Row]:
         rows = []
-        for group, part in ((own, 1.0 - OVER_PART if over else 1.0), (over, OVER_PART if own else 1.0)):
-            known = [self.workers[w] for w in group]
-            speeds = [1.0 / k.pace if k.pace > 0 else 0.0 for k in known]
-            usual = sum(speeds) / max(1, sum(s > 0 for s in speeds)) or 1.0
-            eta = shares(1.0, [k.price for k in known], [s or usual for s in speeds])
-            for k, share in zip(known, eta, strict=True):
+        for group, part in ((homes, 1.0 - OVERFLOW_SHARE if overflow else 1.0),
+                            (overflow, OVERFLOW_SHARE if homes else 1.0)):
+            worker_states = [self.workers[w] for w in group]
+            speeds = [1.0 / k.pace if k.pace > 0 else 0.0 for k in worker_states]
+            mean_speed = sum(speeds) / max(1, sum(s > 0 for s in speeds)) or 1.0
+            eta = shares(1.0, [k.price for k in worker_states], [s or mean_speed for s in speeds])
+            for k, share in zip(worker_states, eta, strict=True):
                 others = max(0.0, k.held - k.held_by.get(forwarder, 0.0))
                 heard = now - k.heard_at if k.heard_at > -math.inf else -1.0
                 rows.append(Row(k.listed.worker, share * part, k.price, others, k.most, k.pace, heard,
-                                group is own))
+                                group is homes))
         return rows
--- a/tests/system/test_placement_learning.py
+++ b/tests/system/test_placement_learning.py
@@ -138,11 +138,11 @@
             for name in workers:
                 ran_ms = 500.0 if name == "w01" else 1_000.0
                 market.note_end(demand(f"x{index}.0.0.0"), name, Result.DONE, ran_ms, index)
-        drawn = [market.choose(demand(f"y{index}.0.0.0"), workers, 100) for index in range(100)]
-        self.assertGreater(drawn.count("w01"), 90)
+        chosen = [market.choose(demand(f"y{index}.0.0.0"), workers, 100) for index in range(100)]
+        self.assertGreater(chosen.count("w01"), 90)
         workers["w01"].used = FULL_CAPACITY
-        drawn = [market.choose(demand(f"z{index}.0.0.0"), workers, 200) for index in range(100)]
-        self.assertEqual(set(drawn), {"w00", "w02", "w03"})
+        chosen = [market.choose(demand(f"z{index}.0.0.0"), workers, 200) for index in range(100)]
+        self.assertEqual(set(chosen), {"w00", "w02", "w03"})
 
     def test_given_the_same_seed_and_calls_then_the_choices_are_the_same(self) -> None:
         def choices() -> list[str | None]:
