--- a/flintfield/drill.py
+++ b/flintfield/drill.py
@@ -1,6 +1,6 @@
-"""The adapter loop: reads batches, hands each event to its instance, writes the actions back.
+"""Adapter for the simulator: reads batches, passes each event to its instance, writes the actions back.
 
-It decides nothing and shares nothing between instances. `python -m flintfield.drill` starts it.
+It makes no decisions and shares nothing between instances. `python -m flintfield.drill` starts it.
 """
 
 from __future__ import annotations
@@ -14,55 +14,55 @@
 
 
 class Host:
-    """Holds the instances of one process, each with nothing but its own events."""
+    """The instances of one process, which are independent of each other."""
 
     def __init__(self) -> None:
         self._instances: dict[int, tuple[Dispatcher, tuple[str | None, ...]]] = {}
-        self._sheets: dict[int, tuple[Entry, ...]] = {}
+        self._server_lists: dict[int, tuple[Entry, ...]] = {}
 
     def batch(self, now: float, body: bytes, count: int) -> bytes:
-        """Play one batch and return the reply's bytes."""
-        replies: list[tuple[int, list[Action | wire.Panic]]] = []
-        about: int | None = None
+        """Process one batch and return the encoded reply."""
+        replies: list[tuple[int, list[Action | wire.Fault]]] = []
+        instance: int | None = None
         for code, record in wire.split_records(body, count):
-            if code == wire.ABOUT:
+            if code == wire.INSTANCE:
                 if len(record) < 2:
-                    raise wire.WireError("a record names no instance")
-                about = wire.U16.unpack_from(record)[0]
-            elif code == wire.SHEET:
+                    raise wire.WireError("instance record has no instance number")
+                instance = wire.U16.unpack_from(record)[0]
+            elif code == wire.SERVER_LIST:
                 if len(record) < 8:
-                    raise wire.WireError("a server list is cut short")
+                    raise wire.WireError("server list is truncated")
                 number, rows = wire.read_rows(record)
-                self._sheets[number] = rows
-            elif about is None:
-                raise wire.WireError(f"record {code} comes before any instance is named")
+                self._server_lists[number] = rows
+            elif instance is None:
+                raise wire.WireError(f"record {code} comes before any instance record")
             else:
-                actions = self._event(now, about, code, record)
-                if replies and replies[-1][0] == about:
+                actions = self._event(now, instance, code, record)
+                if replies and replies[-1][0] == instance:
                     replies[-1][1].extend(actions)
                 else:
-                    replies.append((about, actions))
+                    replies.append((instance, actions))
         return wire.write_reply(replies)
 
-    def _event(self, now: float, about: int, code: int, record: bytes) -> list[Action | wire.Panic]:
-        held = self._instances.get(about)
-        event = wire.read_event(code, record, self._sheets, held[1] if held else ())
+    def _event(self, now: float, instance: int, code: int, record: bytes) -> list[Action | wire.Fault]:
+        known = self._instances.get(instance)
+        event = wire.read_event(code, record, self._server_lists, known[1] if known else ())
         if event is None:
             return []
-        if isinstance(event, wire.Stop):
-            self._instances.pop(about, None)
+        if isinstance(event, wire.StopInstance):
+            self._instances.pop(instance, None)
             return []
         try:
-            if isinstance(event, wire.Enlist):
-                self._instances[about] = (Dispatcher(event.settings, event.seed), event.report_fields)
+            if isinstance(event, wire.StartInstance):
+                self._instances[instance] = (Dispatcher(event.settings, event.seed), event.report_fields)
                 return []
-            if held is None:
-                raise wire.WireError(f"instance {about} has not been born")
-            return list(held[0].handle(now, event))
+            if known is None:
+                raise wire.WireError(f"instance {instance} was not started")
+            return list(known[0].handle(now, event))
         except wire.WireError:
             raise
-        except Exception as error:  # the wire asks for every failure of the decisions to be told
-            return [wire.Panic(f"{type(error).__name__}: {error}")]
+        except Exception as error:  # the protocol requires every failure of the decision code to be reported
+            return [wire.Fault(f"{type(error).__name__}: {error}")]
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
@@ -80,7 +80,7 @@
             raise wire.WireError(f"input ends after {len(head)} bytes of a batch header")
         now, size, count = wire.BATCH_HEAD.unpack(head)
         if size < wire.U32.size:
-            raise wire.WireError(f"a batch of {size} bytes has no room for its record count")
+            raise wire.WireError(f"batch of {size} bytes is too short for its record count")
         sink.write(host.batch(now, _read(source, size - wire.U32.size), count))
         sink.flush()
 
--- a/flintfield/wire/__init__.py
+++ b/flintfield/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: a folder for each protocol. Nothing is decided here."""
+"""Wire protocols, one package for each. This layer encodes and decodes; it makes no decisions."""
--- a/flintfield/wire/http1/__init__.py
+++ b/flintfield/wire/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on sockets: caller legs, next hops and discovery."""
+"""HTTP/1.1 on sockets: client connections, next hops and discovery."""
--- a/flintfield/wire/http1/access.py
+++ b/flintfield/wire/http1/access.py
@@ -1,7 +1,7 @@
-"""Who may connect: the address lists, and the PROXY protocol header that a trusted front puts first.
+"""Access control by client address: allow and deny lists, and the PROXY protocol header of trusted proxies.
 
-The gate stands between accept and caller leg. A header's bytes are taken from the socket and not one more, so
-that nothing of the request is read before the true address is known.
+The gate runs between accepting a connection and serving it. It takes exactly the header's bytes from the
+socket, so that nothing of the request is read before the client's real address is known.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 Network = IPv4Network | IPv6Network
 
 V1, V2 = b"PROXY ", b"\r\n\r\n\0\r\nQUIT\n"
-MOST_V1 = 107  # with its line end
-V2_HEAD = 16
-FAMILIES = {1: 12, 2: 36, 3: 216}  # IPv4, IPv6, Unix: the length of both addresses
-MOST_KEPT = V2_HEAD + max(FAMILIES.values())
-MOST_PROTOCOL = 2  # stream and datagram; what is above is not assigned
+MAX_V1_LENGTH = 107  # longest version 1 header, with its CRLF
+V2_PREFIX = 16
+ADDRESS_LENGTHS = {1: 12, 2: 36, 3: 216}  # IPv4, IPv6, Unix: combined length of both addresses
+MAX_BUFFERED = V2_PREFIX + max(ADDRESS_LENGTHS.values())
+MAX_PROTOCOL = 2  # 1 is stream and 2 datagram; higher values aren't assigned
 
 
 class BadHeader(Exception):
-    """A PROXY header that can not be read, or none where one must be, or one where none may be."""
+    """A PROXY header that is invalid, missing from a trusted proxy or sent by an untrusted peer."""
 
 
-def plain(text: str) -> Address:
-    """An address as the lists know it: a mapped IPv4 address counts as IPv4."""
+def normalize(text: str) -> Address:
+    """Parse an address for comparison with the lists; an IPv4-mapped IPv6 address becomes IPv4."""
     address = ip_address(text)
     return getattr(address, "ipv4_mapped", None) or address
 
 
 class Gate:
-    """The lists, applied to each connection; `say` tells what became of it, `count` counts it."""
+    """Applies the lists to each connection; `say` logs the outcome, `count` increments a counter."""
 
     def __init__(self, allow: Sequence[Network], deny: Sequence[Network], trusted: Sequence[Network],
                  say: Callable[..., None], count: Callable[[str], None]) -> None:
@@ -47,7 +47,7 @@
         self._say, self._count = say, count
 
     def _admits(self, address: Address) -> bool:
-        """`deny` wins over `allow`; an empty `allow` means all."""
+        """`deny` takes precedence over `allow`; an empty `allow` admits every address."""
         if any(address in n for n in self._deny):
             return False
         return not self._allow or any(address in n for n in self._allow)
@@ -56,40 +56,40 @@
         return any(address in n for n in self._trusted)
 
     def takes(self, peer: str) -> bool:
-        """Whether the peer may stay for now; if not it is to be closed unread."""
-        address = plain(peer)
-        return self._trusts(address) or self._judge(address)
+        """Whether to keep the connection for now; if not, it must be closed without reading from it."""
+        address = normalize(peer)
+        return self._trusts(address) or self._check_address(address)
 
-    def _judge(self, address: Address, **more: object) -> bool:
-        admitted = self._admits(address)
-        if not admitted:
+    def _check_address(self, address: Address, **more: object) -> bool:
+        is_admitted = self._admits(address)
+        if not is_admitted:
             self._count("legs.denied")
-        self._say("connection taken" if admitted else "connection denied", client=address, **more)
-        return admitted
+        self._say("connection taken" if is_admitted else "connection denied", client=address, **more)
+        return is_admitted
 
-    async def lets_in(self, stream: Stream, peer: str, deadline: float) -> bytes | None:
-        """What of the request was read meanwhile; None if the connection is to be closed."""
-        front = plain(peer)
+    async def admit(self, stream: Stream, peer: str, deadline: float) -> bytes | None:
+        """The part of the request read so far; None if the connection must be closed."""
+        peer_address = normalize(peer)
         try:
-            if not self._trusts(front):
+            if not self._trusts(peer_address):
                 return await _read_no_header(stream, deadline)
-            told = read_address(await _read_header(stream, deadline))
+            client = read_address(await _read_header(stream, deadline))
         except BadHeader as error:
             self._count("legs.bad_proxy_header")
-            self._say("bad proxy header", client=front, error=error)
+            self._say("bad proxy header", client=peer_address, error=error)
             return None
-        return b"" if self._judge(told or front, front=front) else None
+        return b"" if self._check_address(client or peer_address, front=peer_address) else None
 
 
 # ------------------------------------------------------------------ headers
 
 
 async def _read_no_header(stream: Stream, deadline: float) -> bytes:
-    """The first bytes of an untrusted peer, enough to know that they begin no PROXY header."""
+    """Read an untrusted peer's first bytes, up to the one that rules out a PROXY header."""
     seen = b""
     while any(s.startswith(seen) for s in (V1, V2)):
         if not (data := await stream.receive_by(deadline)):
-            return seen  # the leg deals with what is not whole
+            return seen  # the connection handles an incomplete request
         seen += data
         if seen.startswith((V1, V2)):
             raise BadHeader("from an untrusted peer")
@@ -97,51 +97,51 @@
 
 
 async def _read_header(stream: Stream, deadline: float) -> bytes:
-    """A trusted front's header, without its TLVs; it is taken whole, and not a byte of what follows it."""
+    """Read a trusted proxy's whole header and nothing after it; returns it without long TLVs."""
     header, taken = b"", 0
     while True:
         seen = await stream.receive_by(deadline, flags=socket.MSG_PEEK)
         if not seen:
-            raise BadHeader("missing" if not header else "cut short")
-        size = _size(header + seen)
+            raise BadHeader("missing" if not header else "header is truncated")
+        size = _header_length(header + seen)
         data = await stream.receive_by(deadline, len(seen) if size is None else min(size - taken, len(seen)))
         taken += len(data or b"")
-        header = (header + (data or b""))[:MOST_KEPT]  # long TLVs are taken, and not held
+        header = (header + (data or b""))[:MAX_BUFFERED]  # long TLVs are read but not buffered
         if taken == size:
             return header
 
 
-def _size(text: bytes) -> int | None:
-    """The length of the header that begins so; None if that can not be told yet, and all is of the header."""
+def _header_length(text: bytes) -> int | None:
+    """The length of the header that starts with `text`; None while `text` is too short to tell."""
     if V2.startswith(text[:len(V2)]):
-        return V2_HEAD + int.from_bytes(text[14:16], "big") if len(text) >= V2_HEAD else None
+        return V2_PREFIX + int.from_bytes(text[14:16], "big") if len(text) >= V2_PREFIX else None
     if not V1.startswith(text[:len(V1)]):
         raise BadHeader("missing")
-    end = text.find(b"\n", 0, MOST_V1)
+    end = text.find(b"\n", 0, MAX_V1_LENGTH)
     if end >= 0 and text[end - 1:end] == b"\r":
         return end + 1
-    if end >= 0 or len(text) >= MOST_V1:
-        raise BadHeader("version 1 without its line end")
+    if end >= 0 or len(text) >= MAX_V1_LENGTH:
+        raise BadHeader("PROXY version 1 header without CRLF")
     return None
 
 
 def read_address(header: bytes) -> Address | None:
-    """The true address that a whole header tells; None where it tells none, and the peer's counts."""
+    """The client address in a complete header; None if it has none, so that the peer's address applies."""
     try:
         result = _unpack(header)
     except (ValueError, struct.error) as error:
         raise BadHeader(str(error) or type(error).__name__) from error
-    return plain(str(result.source[0])) if is_ipv4(result) or is_ipv6(result) else None
+    return normalize(str(result.source[0])) if is_ipv4(result) or is_ipv6(result) else None
 
 
 def _unpack(header: bytes) -> ProxyResult:
     if header.startswith(V1):
         return ProxyProtocolV1().unpack_line(header)
-    parser, head = ProxyProtocolV2(), header[:V2_HEAD]
+    parser, head = ProxyProtocolV2(), header[:V2_PREFIX]
     fields = parser.unpack_header(head)
     family, protocol = head[13] >> 4, head[13] & 0x0F
-    # The parser takes values that are not assigned for 'unspecified'; the protocol has them refused.
-    if fields.command == "proxy" and (family > max(FAMILIES) or protocol > MOST_PROTOCOL):
-        raise BadHeader("version 2 of a family or protocol that is not assigned")
-    addresses = header[V2_HEAD:][:FAMILIES.get(family, 0)]  # what follows are TLVs: skipped, read by nobody
+    # The parser treats unassigned values as 'unspecified'; the protocol requires rejecting them.
+    if fields.command == "proxy" and (family > max(ADDRESS_LENGTHS) or protocol > MAX_PROTOCOL):
+        raise BadHeader("PROXY version 2 header with an unassigned family or protocol")
+    addresses = header[V2_PREFIX:][:ADDRESS_LENGTHS.get(family, 0)]  # TLVs follow: ignored
     return parser.unpack_data(fields, head, b"" if fields.command == "local" else addresses)
--- a/flintfield/wire/http1/answer.py
+++ b/flintfield/wire/http1/answer.py
@@ -1,8 +1,8 @@
-"""A next hop's answer as it comes in: the strict readers read it while it is regular, h11 from there on.
+"""Incremental parser for a next hop's response: the fast readers while it is regular, h11 from there on.
 
-An `AnswerReader` is handed bytes (`put`) and gives what they say, one thing after the other (`next`):
-`Mark.GO_ON` and `Mark.NEWS` for what may come before an answer, its `Head`, the pieces of its body,
-`Mark.END`. `Mark.BROKEN` says that it ended before its end, or can not be read; None that more bytes are
+An `AnswerReader` is fed bytes (`put`) and returns parse events one at a time (`next`): `Mark.GO_ON` (100
+Continue) and `Mark.INFORMATIONAL` (another 1xx) before the response, its `Head`, the pieces of its body and
+`Mark.END`. `Mark.BROKEN` means that the input ended early or can't be parsed; None means that more bytes are
 needed. It does no I/O.
 """
 
@@ -25,91 +25,91 @@
 
 
 class Mark(Enum):
-    """What is neither a head nor a piece of a body."""
+    """A parse event that is neither a head nor a piece of a body."""
 
     GO_ON = 100
-    NEWS = 199  # another word before the answer
+    INFORMATIONAL = 199  # any 1xx response other than 100
     END = 0
     BROKEN = -1
 
 
-REGULAR_HEAD = Head(200, {})  # of a regular answer nobody asks for more
+REGULAR_HEAD = Head(200, {})  # no caller needs the headers of a regular response
 
 
 class AnswerReader:
-    """Reads one answer; `heads` knows regular heads, None has h11 read everything."""
+    """Parses one response; `heads` recognises regular heads. With None, h11 parses everything."""
 
-    __slots__ = ("_at", "_data", "_ended", "_head", "_heads", "_method", "_parser")
+    __slots__ = ("_data", "_eof", "_method", "_offset", "_parser", "_regular_head", "_regular_heads")
 
     def __init__(self, method: bytes, heads: AnswerHeads | None) -> None:
-        self._method, self._heads = method, heads
-        self._data, self._at = b"", 0  # what has come, and how much of it was read
-        self._head = b""  # the regular head, once it was read
-        self._ended = False  # no more comes
+        self._method, self._regular_heads = method, heads
+        self._data, self._offset = b"", 0  # received bytes, and the number already parsed
+        self._regular_head = b""  # the regular head, once it was parsed
+        self._eof = False  # the peer closed the connection
         self._parser: h11.Connection | None = None
 
     @property
     def regular(self) -> bool:
-        """Whether h11 was not asked so far."""
+        """Whether h11 has not been needed so far."""
         return self._parser is None
 
     @property
     def clean(self) -> bool:
-        """Whether all was regular and nothing is left: after its end the connection may be used anew."""
-        return self._parser is None and self._at == len(self._data) and not self._ended
+        """Whether all was regular and no bytes are left: after `Mark.END` the connection may be reused."""
+        return self._parser is None and self._offset == len(self._data) and not self._eof
 
     def put(self, data: bytes) -> None:
-        """Take in what has come; empty: no more comes."""
+        """Add received bytes; empty means that the peer closed the connection."""
         if self._parser:
             self._parser.receive_data(data)
             return
-        self._data, self._at = self._data[self._at:] + data, 0
-        self._ended |= not data
+        self._data, self._offset = self._data[self._offset:] + data, 0
+        self._eof |= not data
 
     def next(self) -> Head | bytes | Mark | None:
-        """What comes next."""
+        """The next parse event, or None if more bytes are needed."""
         if self._parser is None:
-            if self._at == len(self._data):
-                return Mark.BROKEN if self._ended else None
-            if (told := self._regular()) is not None:
-                return told
-            self._hand_over()
-        return self._by_parser()
-
-    def _regular(self) -> Head | bytes | Mark | None:
-        """The next thing, if it is regular."""
-        data, at = self._data, self._at
-        if self._heads is None:
+            if self._offset == len(self._data):
+                return Mark.BROKEN if self._eof else None
+            if (event := self._read_regular()) is not None:
+                return event
+            self._switch_to_h11()
+        return self._read_with_h11()
+
+    def _read_regular(self) -> Head | bytes | Mark | None:
+        """The next parse event, or None if the input isn't regular or not complete."""
+        data, at = self._data, self._offset
+        if self._regular_heads is None:
             return None
-        if not self._head:
+        if not self._regular_head:
             if data.startswith(GO_ON, at):
-                self._at += len(GO_ON)
+                self._offset += len(GO_ON)
                 return Mark.GO_ON
-            if size := self._heads.size(data, at):
-                self._at += size
-                self._head = data[at:self._at]
+            if size := self._regular_heads.size(data, at):
+                self._offset += size
+                self._regular_head = data[at:self._offset]
                 return REGULAR_HEAD
             return None
         if (chunk := read_chunk(data, at)) is None:
             return None
-        piece, self._at = chunk
+        piece, self._offset = chunk
         return piece or Mark.END
 
-    def _hand_over(self) -> None:
-        """Let h11 read on: it is told what we have read as far as it must know, and gets the rest unread."""
+    def _switch_to_h11(self) -> None:
+        """Continue with h11: replay the request and a parsed head to set its state, then pass it the rest."""
         self._parser = parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method=self._method, target=b"/",
                                 headers=[(b"Host", b"x"), (b"Content-Length", b"0")]))
         parser.send(h11.EndOfMessage())
-        if self._head:
-            parser.receive_data(self._head)
+        if self._regular_head:
+            parser.receive_data(self._regular_head)
             parser.next_event()
-        parser.receive_data(self._data[self._at:])
-        if self._ended:
+        parser.receive_data(self._data[self._offset:])
+        if self._eof:
             parser.receive_data(b"")
-        self._data, self._at = b"", 0
+        self._data, self._offset = b"", 0
 
-    def _by_parser(self) -> Head | bytes | Mark | None:
+    def _read_with_h11(self) -> Head | bytes | Mark | None:
         assert self._parser
         try:
             event = self._parser.next_event()
@@ -122,5 +122,5 @@
         if isinstance(event, h11.Response):
             return Head(event.status_code, dict(event.headers))
         if isinstance(event, h11.InformationalResponse):
-            return Mark.GO_ON if event.status_code == 100 else Mark.NEWS
+            return Mark.GO_ON if event.status_code == 100 else Mark.INFORMATIONAL
         return Mark.END if isinstance(event, h11.EndOfMessage) else Mark.BROKEN
--- a/flintfield/wire/http1/client.py
+++ b/flintfield/wire/http1/client.py
@@ -1,4 +1,4 @@
-"""Our side as a client: one kept connection, requests one after the other, the pool of idle ones."""
+"""HTTP/1.1 client: a connection for sequential requests, and a pool of idle connections."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from flintfield.wire.http1.answer import Head
 from flintfield.wire.http1.stream import OURS, Stream, dial
 
-MOST_BODY = 4 << 20  # a whole list or a job's lines; more than this is odd input
-RETIRE_PART = 0.7  # of the time after which the other side closes an idle connection
-ROOM_PAUSE_S = 0.02  # between two tries to get a descriptor
+MAX_BODY = 4 << 20  # limit for a server list or a job's lines; a longer body is treated as invalid
+RETIRE_PART = 0.7  # part of the server's idle timeout after which this side closes an idle connection
+DESCRIPTOR_PAUSE_S = 0.02  # pause between two attempts to get a descriptor
 
 
 class Connection:
-    """A connection on which we are the client."""
+    """One client connection."""
 
     def __init__(self, stream: Stream, address: Address) -> None:
         self.stream, self.address = stream, address
@@ -30,19 +30,19 @@
     def request(
         self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> tuple[bytes, bytes]:
-        """The bytes of a request: its head and its body."""
+        """Encode a request; returns its head and its body."""
         head = h11.Request(method=method, target=target, headers=[
             (b"Host", self._host), *headers, (b"Content-Length", b"%d" % len(body))])
         start = self._h11.send(head) or b""
         return start, b"".join(self._h11.send(p) or b"" for p in (h11.Data(data=body), h11.EndOfMessage()))
 
     async def goes_on(self) -> bool:
-        """Whether the other side, having read the head, asks for the body; not if it broke or answered."""
+        """Wait for 100 Continue; False if the connection broke or another response came."""
         event = await self._next()
         return isinstance(event, h11.InformationalResponse) and event.status_code == 100
 
     async def head(self) -> Head | None:
-        """The response's head; None if the connection broke or it cannot be read."""
+        """The response's head; None if the connection broke or the head is invalid."""
         event = await self._next()
         while isinstance(event, h11.InformationalResponse):
             event = await self._next()
@@ -51,18 +51,18 @@
         return Head(event.status_code, dict(event.headers))
 
     async def data(self) -> bytes | None:
-        """The next piece of the body, empty at its end; None if it broke."""
+        """The next piece of the body, empty at its end; None if the connection broke."""
         event = await self._next()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         return b"" if isinstance(event, h11.EndOfMessage) else None
 
     async def body(self) -> bytes | None:
-        """The rest of the body; None if it broke or is too long."""
+        """The rest of the body; None if the connection broke or the body is too long."""
         whole = bytearray()
         while piece := await self.data():
             whole += piece
-            if len(whole) > MOST_BODY:
+            if len(whole) > MAX_BODY:
                 return None
         return None if piece is None else bytes(whole)
 
@@ -75,7 +75,7 @@
         return event
 
     def renew(self) -> bool:
-        """Make ready for another request, where both sides allow it."""
+        """Prepare for another request; False if the connection can't be reused."""
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             return self.stream.is_quiet()
@@ -84,25 +84,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A whole answer to a GET."""
+    """A complete response to a GET."""
 
     head: Head
     body: bytes
 
 
 class Pool:
-    """Idle connections by address, the last used first; in all no more than `most`."""
+    """Idle connections by address, the most recently used first; at most `most` in total."""
 
     def __init__(self, clock: Callable[[], float], conn_idle_ms: float, dial_timeout_ms: float, most: int,
                  make_room: Callable[[], object]) -> None:
         self._clock, self._dial_timeout_ms = clock, dial_timeout_ms
-        # Guards against a request on a connection that the other side is just closing: it would be a reset.
+        # A request on a connection that the server is closing at that moment would be reset.
         self._retire_ms = conn_idle_ms * RETIRE_PART
         self._most, self._make_room = most, make_room
         self._idle: dict[Address, list[Connection]] = {}
 
     async def _get(self, address: Address, fresh: bool = False) -> Connection | Reach:
-        """A kept connection that is still good, or a fresh one; else how far the dial had come."""
+        """A usable idle connection or a new one; on failure, how far connecting got."""
         kept = [] if fresh else self._idle.get(address, [])
         while kept:
             connection = kept.pop()
@@ -113,24 +113,25 @@
         return await self.dial(address)
 
     async def dial(self, address: Address) -> Connection | Reach:
-        """A new connection, else how far the dial had come.
+        """A new connection; on failure, how far connecting got.
 
-        Guards against blaming the other side for our own lack of descriptors: room is made instead.
+        A lack of descriptors in this process doesn't count as the server's failure: other connections are
+        closed to free one, and connecting is retried.
         """
-        ends = self._clock() + self._dial_timeout_ms
+        deadline = self._clock() + self._dial_timeout_ms
         while True:
             stream = await dial(address, self._dial_timeout_ms)
             if isinstance(stream, Stream):
                 return Connection(stream, address)
             if stream not in OURS:
                 return Reach.DIALLING
-            if self._clock() >= ends:
+            if self._clock() >= deadline:
                 return Reach.UNTRIED
             self.make_room()
-            await anyio.sleep(ROOM_PAUSE_S)
+            await anyio.sleep(DESCRIPTOR_PAUSE_S)
 
     async def fetch(self, address: Address, target: bytes, kept_s: float) -> Page | Reach:
-        """Read a page, on a kept connection within that time; if that is no use, once more on a new one."""
+        """GET a page, on an idle connection within `kept_s`; if that fails, once more on a new connection."""
         for fresh in (False, True):
             connection = await self._get(address, fresh)
             if isinstance(connection, Reach):
@@ -159,44 +160,44 @@
         return None if head is None or body is None else Page(head, body)
 
     def _keep(self, connection: Connection) -> None:
-        """Keep a connection for later, or close it."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         if not connection.renew():
             connection.stream.close()
             return
         connection.idle_since = self._clock()
         self._idle.setdefault(connection.address, []).append(connection)
-        # Guards against idle connections that use up the descriptors.
+        # Idle connections must not use up the descriptors.
         if sum(len(kept) for kept in self._idle.values()) > self._most:
             self._close_oldest()
 
     def make_room(self) -> None:
-        """Have a descriptor come free soon."""
+        """Close a connection to free a descriptor."""
         if not self._close_oldest():
             self._make_room()
 
     def _close_oldest(self) -> bool:
-        """Close what has been idle the longest; whether there was any."""
-        if not (firsts := [kept[0] for kept in self._idle.values() if kept]):
+        """Close the connection that has been idle longest; returns whether there was one."""
+        if not (oldest_by_address := [kept[0] for kept in self._idle.values() if kept]):
             return False
-        oldest = min(firsts, key=lambda c: c.idle_since)
+        oldest = min(oldest_by_address, key=lambda c: c.idle_since)
         self._idle[oldest.address].remove(oldest)
         oldest.stream.close()
         return True
 
     def forget(self, address: Address) -> None:
-        """Close what is kept for an address: what ended one connection may have ended all."""
+        """Close all idle connections to an address; a failure of one may affect all of them."""
         for connection in self._idle.pop(address, []):
             connection.stream.close()
 
     def sweep(self) -> None:
-        """Close what has been idle too long or was ended by the other side."""
+        """Close connections that were idle too long or that the server closed."""
         now = self._clock()
         for address, kept in list(self._idle.items()):
-            good = [c for c in kept if now - c.idle_since < self._retire_ms and c.stream.is_quiet()]
+            usable = [c for c in kept if now - c.idle_since < self._retire_ms and c.stream.is_quiet()]
             for connection in kept:
-                if connection not in good:
+                if connection not in usable:
                     connection.stream.close()
-            if good:
-                self._idle[address] = good
+            if usable:
+                self._idle[address] = usable
             else:
                 del self._idle[address]
--- a/flintfield/wire/http1/discovery.py
+++ b/flintfield/wire/http1/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's side: its list as it stands on the wire, and the watch calls."""
+"""Client of the discovery service: parses its server lists and makes the watch calls."""
 
 from __future__ import annotations
 
@@ -17,60 +17,60 @@
 from flintfield.wire.http1.client import Pool
 from flintfield.wire.http1.lines import read_json
 
-# What a silent watch hides counts as told 6 s after it fell silent, or 2 s after its wait if that is later.
-# So the wait is short enough that two calls may follow it in that time, each as long under way as discovery
-# lets one wait for its turn.
-WAIT_MS = 3_000  # how long a watch may wait for news
-AT_ONCE_MS = 1  # the wait of a call that is to be answered at once with what there is
-ANSWER_MS = 1_000.0  # what a call for changes may take beyond its wait
-WHOLE_MS = 1_500.0  # what a call for the whole list may take
-BUSY = frozenset({429, 503})  # discovery is there, and has too much to do
+# A change that a silent watch misses counts as delivered 6 s after the watch fell silent, or 2 s after its
+# wait if that is later. The wait is short enough that two more calls fit into that time, even if discovery
+# queues each for as long as it lets a call wait.
+WAIT_MS = 3_000  # long-poll time of a watch
+AT_ONCE_MS = 1  # wait of a call that is answered immediately with the changes there are
+ANSWER_MS = 1_000.0  # time limit of a call for changes, beyond its wait
+WHOLE_MS = 1_500.0  # time limit of a call for the whole list
+BUSY = frozenset({429, 503})  # discovery is reachable but overloaded
 STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
 
 
 class ListError(Exception):
-    """A list that cannot be read."""
+    """A server list that can't be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reader:
-    """Reads discovery's lists; zones and machine types are places in the settings' lists."""
+    """Parses discovery's lists; zones and machine types become indexes into the settings' lists."""
 
     zones: Sequence[str]
     kinds: Sequence[str]
 
     def news(self, raw: Any, cached: bool = False) -> RouteNews:
-        """Read a list or a change of it."""
+        """Parse a full list or a delta."""
         try:
             mode = ListMode.CACHED if cached else ListMode.FULL if raw["reset"] else ListMode.DELTA
             routes = [self._route(r) for r in list(raw["instances"])]
             return RouteNews(mode, int(raw["generation"]), tuple(r for r in routes if r))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ListError(f"a list that cannot be read: {error!r}") from error
+            raise ListError(f"server list can't be parsed: {error!r}") from error
 
     def _route(self, raw: Any) -> Route | None:
-        """One line; None if it names nobody. Guards against one odd line that makes the others unheard."""
+        """Parse one entry; None if it has no instance id. A malformed entry doesn't invalidate the list."""
         if not isinstance(raw, Mapping) or not isinstance(name := raw.get("instanceId"), str):
             return None
         address = _address(raw.get("hostPort"))
-        word = raw.get("lifecycle")
-        # Guards against a word or an address that we do not know: nothing new goes to such a next hop.
-        state = STATES.get(word, State.DRAINING) if isinstance(word, str) else State.DRAINING
+        lifecycle = raw.get("lifecycle")
+        # An unknown lifecycle state or address counts as draining: no new work goes to such a next hop.
+        state = STATES.get(lifecycle, State.DRAINING) if isinstance(lifecycle, str) else State.DRAINING
         if address is None and state is State.READY:
             state = State.DRAINING
         entry = Entry(
             worker=worker_of(name),
             state=state,
-            zone=_place(self.zones, raw.get("zone")),
-            cell=int(_figure(raw.get("cell"), 0.0)),
-            kind=_place(self.kinds, raw.get("machineType")),
-            weight=_figure(raw.get("weight"), 1.0) or 1.0,
-            started_ms=_figure(raw.get("startedAtMs"), 0.0),
+            zone=_index_of(self.zones, raw.get("zone")),
+            cell=int(_number_or(raw.get("cell"), 0.0)),
+            kind=_index_of(self.kinds, raw.get("machineType")),
+            weight=_number_or(raw.get("weight"), 1.0) or 1.0,
+            started_ms=_number_or(raw.get("startedAtMs"), 0.0),
         )
         return Route(name, address or ("", 0), entry)
 
 
-def _place(names: Sequence[str], name: Any) -> int:
+def _index_of(names: Sequence[str], name: Any) -> int:
     return names.index(name) if name in names else len(names)
 
 
@@ -79,63 +79,63 @@
     return (host.strip("[]"), int(port)) if host and port.isdecimal() and 0 < int(port) < 65_536 else None
 
 
-def _figure(value: Any, usual: float) -> float:
-    """A figure of a list; what is none, or none that can be, counts as the usual one."""
-    plain = isinstance(value, int | float) and not isinstance(value, bool)
-    return float(value) if plain and 0 <= value < 1e15 else usual
+def _number_or(value: Any, default: float) -> float:
+    """A number of an entry; the default if it is missing, not a number or out of range."""
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    return float(value) if is_number and 0 <= value < 1e15 else default
 
 
 def wait_ms(effect: CallDiscovery) -> int | None:
-    """How long the call asks discovery to wait for news; None: it asks for the whole list."""
+    """How long the call asks discovery to wait for changes; None for a call for the whole list."""
     if effect.generation is None:
         return None
     return WAIT_MS if effect.waits else AT_ONCE_MS
 
 
 def within_ms(effect: CallDiscovery) -> float:
-    """How long the call may take before its connection counts as silent."""
+    """Time limit of the call, after which its connection counts as silent."""
     waits = wait_ms(effect)
     return WHOLE_MS if waits is None else ANSWER_MS + waits
 
 
 class Discovery:
-    """The watch calls to discovery, one at a time on a kept connection."""
+    """Makes the watch calls to discovery, one at a time on a kept-alive connection."""
 
     def __init__(self, tell: Callable[[Message], None], pool: Pool, reader: Reader) -> None:
         self._tell, self._pool, self._reader = tell, pool, reader
-        self._outs: dict[int, anyio.CancelScope] = {}
+        self._scopes: dict[int, anyio.CancelScope] = {}
 
     def open(self, effect: CallDiscovery) -> None:
-        """Note a call that `run` is to make, so that it can be ended before."""
-        self._outs[effect.call] = anyio.CancelScope()
+        """Register a call before `run` makes it, so that it can be cancelled earlier."""
+        self._scopes[effect.call] = anyio.CancelScope()
 
     def leave(self, effect: LeaveDiscovery) -> None:
-        """End the call that is out, without waiting for anything, and let go of that address."""
-        for scope in self._outs.values():
+        """Cancel the call in flight without waiting, and close idle connections to that address."""
+        for scope in self._scopes.values():
             scope.cancel()
         self._pool.forget(effect.address)
 
     async def run(self, effect: CallDiscovery) -> None:
-        """One call; its news or its failure is told."""
+        """Make one call and report its result or failure."""
         message: Message = RouteCallFailed("no answer in time", effect.call, silent=True)
-        scope = self._outs[effect.call]
-        # Guards against a connection that says nothing any more: such a call must fail, not wait for ever.
+        scope = self._scopes[effect.call]
+        # A call on a connection that has gone silent must fail rather than wait forever.
         scope.deadline = anyio.current_time() + within_ms(effect) / 1000
         with scope:
             try:
                 message = await self._ask(effect)
-            except Exception as error:  # exceptions stop at the connection
+            except Exception as error:  # must not affect other connections
                 message = RouteCallFailed(repr(error), effect.call)
-        del self._outs[effect.call]
+        del self._scopes[effect.call]
         self._tell(message)
 
     async def _ask(self, effect: CallDiscovery) -> Message:
         index, wait = effect.generation, wait_ms(effect)
-        wants = b"" if index is None or wait is None else b"?index=%d&wait=%d" % (index, wait)
-        page = await self._pool.fetch(effect.address, b"/v1/endpoints" + wants, math.inf)
+        query = b"" if index is None or wait is None else b"?index=%d&wait=%d" % (index, wait)
+        page = await self._pool.fetch(effect.address, b"/v1/endpoints" + query, math.inf)
         if isinstance(page, Reach):
-            word = "broke before the answer" if page is Reach.SENT else "no connection"
-            return RouteCallFailed(word, effect.call)
+            reason = "broke before the answer" if page is Reach.SENT else "no connection"
+            return RouteCallFailed(reason, effect.call)
         if page.head.status != 200:
             return RouteCallFailed(f"answered {page.head.status}", effect.call, page.head.status in BUSY)
         try:
--- a/flintfield/wire/http1/hop.py
+++ b/flintfield/wire/http1/hop.py
@@ -1,4 +1,4 @@
-"""The next hop's side: branches with a job's lines, and probes. It tells what came back, no more."""
+"""Client of the next hops: branches that carry jobs, and load probes. It makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     WriteBranch,
 )
 from flintfield.wire.http1.answer import Head
-from flintfield.wire.http1.branch import BranchLeg, Shared
+from flintfield.wire.http1.branch import BranchConnection, Shared
 from flintfield.wire.http1.client import Page, Pool
 from flintfield.wire.http1.lines import read_load
 from flintfield.wire.http1.poller import Poller
 from flintfield.wire.http1.spares import Spares
 
-PROBE_S = 0.4  # a probe without an answer by then has failed
-PROBE_KEPT_S = 0.15  # on a kept connection, which may have fallen silent: then a new one is tried
+PROBE_S = 0.4  # time limit of a probe
+PROBE_KEPT_S = 0.15  # limit on a kept-alive connection, which may have gone silent, before trying a new one
 
 
 class NextHops:
-    """All branches and probes that are out."""
+    """All branches and probes in flight."""
 
     def __init__(self, tell: Callable[[Message], None], clock: Callable[[], float], pool: Pool,
                  report_names: Mapping[str, str], poller: Poller, spares: Spares,
@@ -31,53 +31,53 @@
                  is_waiting: Callable[[int], bool], dial_timeout_ms: float) -> None:
         self._tell, self._clock, self._pool, self._names = tell, clock, pool, report_names
         self._shared = Shared(tell, poller, pool, report_names, spares, count, caller_of,
-                              is_waiting, self._ended, dial_timeout_ms)
-        self._outs: dict[tuple[int, int], BranchLeg] = {}
+                              is_waiting, self._remove, dial_timeout_ms)
+        self._branches: dict[tuple[int, int], BranchConnection] = {}
 
     # -------------------------------------------------------------- branches
 
     def open(self, effect: OpenBranch) -> None:
-        """Start a branch; it tells `BranchUp` once it has its connection."""
-        leg = self._outs[effect.rid, effect.branch] = BranchLeg(effect, self._shared)
+        """Start a branch; it sends `BranchUp` once it is connected."""
+        connection = self._branches[effect.rid, effect.branch] = BranchConnection(effect, self._shared)
         try:
-            leg.begin()
-        except Exception as error:  # exceptions stop at the connection
-            leg.broke(error)
+            connection.begin()
+        except Exception as error:  # must not affect other connections
+            connection.broke(error)
 
     def hold(self, effect: HoldBranch) -> None:
-        """Let a branch that has told `BranchUp` wait for its order."""
-        if leg := self._outs.get((effect.rid, effect.branch)):
-            leg.hold()
+        """Let a branch that has sent `BranchUp` wait for its `WriteBranch`."""
+        if connection := self._branches.get((effect.rid, effect.branch)):
+            connection.hold()
 
     def write(self, effect: WriteBranch) -> None:
-        """Let a branch write that has told `BranchUp`."""
-        if leg := self._outs.get((effect.rid, effect.branch)):
-            leg.write(effect)
+        """Let a branch that has sent `BranchUp` write its request."""
+        if connection := self._branches.get((effect.rid, effect.branch)):
+            connection.write(effect)
 
     def drop(self, effect: DropBranch) -> None:
         """Close a branch's connection before anything else is written."""
-        if leg := self._outs.pop((effect.rid, effect.branch), None):
-            leg.close()
+        if connection := self._branches.pop((effect.rid, effect.branch), None):
+            connection.close()
 
     def shut(self, effect: ShutHops) -> None:
-        """Close all connections that wait at these next hops, and keep none."""
+        """Close all idle connections to these next hops, and keep none from now on."""
         self._shared.spares.shut(effect.addresses)
         for address in effect.addresses:
             self._shared.pool.forget(address)
 
-    def _ended(self, leg: BranchLeg) -> None:
-        self._outs.pop((leg.rid, leg.branch), None)
+    def _remove(self, connection: BranchConnection) -> None:
+        self._branches.pop((connection.rid, connection.branch), None)
 
     # ---------------------------------------------------------------- probes
 
     async def probe(self, effect: ProbeHop) -> None:
-        """Ask once for the load, and tell how it went."""
+        """Ask once for the load report, and send the result as `ProbeEnded`."""
         began, ending = self._clock(), Ending(End.BROKEN, Reach.SENT, word="no answer in time")
         try:
             with anyio.move_on_after(PROBE_S):
                 page = await self._pool.fetch(effect.address, b"/status/load", PROBE_KEPT_S)
                 ending = self._probe_ending(page)
-        except Exception as error:  # exceptions stop at the connection
+        except Exception as error:  # must not affect other connections
             ending = Ending(End.BROKEN, Reach.SENT, word=repr(error))
         self._tell(ProbeEnded(effect.worker, ending, self._clock() - began))
 
--- a/flintfield/wire/http1/jobs.py
+++ b/flintfield/wire/http1/jobs.py
@@ -1,4 +1,4 @@
-"""The page of one job: `GET /jobs/<Req-Id>` tells what this scheduler knows of it, or what others do."""
+"""The page of one job: `GET /jobs/<Req-Id>` returns this scheduler's record of it, or another scheduler's."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """What other schedulers say of a job; `counts` tells how many were asked, for one that nobody knows."""
+    """Other schedulers' record of a job; `counts` says how many were asked, for a job that none knows."""
 
     told: Told | None
     counts: Told
@@ -26,23 +26,23 @@
 
 @dataclass(slots=True)
 class JobPages:
-    """Words the records of jobs; `find` gives one by its id, `elsewhere`, if set, asks other schedulers."""
+    """Serves job records; `find` looks one up by id, `elsewhere`, if set, asks other schedulers."""
 
     scheduler: str
     find: Callable[[str], JobRecord | None]
     elsewhere: Callable[[str], Awaitable[Elsewhere]] | None = None
 
     def page(self, method: bytes, rest: bytes) -> Reply | Awaitable[Reply]:
-        """The answer for what follows `/jobs/`; 404 means not known, not that the job was not done."""
+        """Answer for `rest`, the path after `/jobs/`. A 404 means unknown; the job may still have run."""
         if method != b"GET":
             raise BadRequest(405, "this page is read with GET")
-        name = unquote_to_bytes(rest).decode("latin-1")  # as ids are read from their header
-        if told := self.tell(name):
-            return _reply(200, told)
-        return self._ask(name, self.elsewhere) if self.elsewhere else _reply(404, self._unknown(name))
+        name = unquote_to_bytes(rest).decode("latin-1")  # ids in the Req-Id header are decoded the same way
+        if record := self.tell(name):
+            return _reply(200, record)
+        return self._ask_others(name, self.elsewhere) if self.elsewhere else _reply(404, self._unknown(name))
 
     def tell(self, name: str) -> Told | None:
-        """What is known here of a job; None if nothing is."""
+        """This scheduler's record of a job; None if it has none."""
         if (job := self.find(name)) is None:
             return None
         return {"id": name, "kind": job.kind, "state": job.state, "instance": job.instance,
@@ -52,10 +52,10 @@
     def _unknown(self, name: str) -> Told:
         return {"id": name, "state": "unknown", "scheduler": self.scheduler}
 
-    async def _ask(self, name: str, elsewhere: Callable[[str], Awaitable[Elsewhere]]) -> Reply:
+    async def _ask_others(self, name: str, elsewhere: Callable[[str], Awaitable[Elsewhere]]) -> Reply:
         found = await elsewhere(name)
         return _reply(200, found.told) if found.told else _reply(404, self._unknown(name) | found.counts)
 
 
-def _reply(status: int, told: Told) -> Reply:
-    return Reply(status, json.dumps({k: v for k, v in told.items() if v is not None}).encode(), AS_JSON)
+def _reply(status: int, fields: Told) -> Reply:
+    return Reply(status, json.dumps({k: v for k, v in fields.items() if v is not None}).encode(), AS_JSON)
--- a/flintfield/wire/http1/leg.py
+++ b/flintfield/wire/http1/leg.py
@@ -1,20 +1,20 @@
-"""One connection of a caller: whole requests in, answers out, and no longer than it may take.
+"""One connection of a caller: reads complete requests and writes responses, within time limits.
 
 Rules:
 
-1. A leg carries one request at a time. What comes before its answer is a caller that leaves, or an unsound
-   one.
-2. It waits for nothing: `ready` does what can be done now. What it needs of others it asks of its house.
-3. It holds a parser only while a request that is not whole, or not regular, is in work: an idle leg is small.
+1. A connection carries one request at a time. Input before the response means that the caller closed the
+   connection or pipelines requests, which is an error.
+2. It never blocks: `ready` does what can be done now. It calls its owner for everything else.
+3. It holds a parser only during a request that is incomplete or not regular, so an idle connection is small.
 
-    GATE ──▶ READING ── whole request ──▶ WAITING ── answer ──▶ WRITING ── all taken ──▶ READING
-                └─ what can not be read ───────────────────────────▲           └──▶ LINGERING ──▶ CLOSED
+    GATE ──▶ READING ── whole request ──▶ WAITING ── answer ──▶ WRITING ──── sent ─────▶ READING
+                └─ invalid request ────────────────────────────────▲           └──▶ LINGERING ──▶ CLOSED
 
-GATE lasts until `watch`: others may read first who calls. READING waits for bytes: on a new leg no longer
-than `REQUEST_S` from its start, on a kept one for ever until the first byte, and `REQUEST_S` from there.
-WAITING ends with the house's `answer`. LINGERING throws away what still comes, so that our last answer is
-read before the connection ends; a leg that is let go between two requests lingers as well, for the next one
-may be on its way.
+GATE lasts until `watch`, while the access check may read a PROXY header. READING waits for bytes: on a new
+connection up to `REQUEST_S` from its start, on a kept-alive one without limit until the first byte and
+`REQUEST_S` from there. WAITING ends with the owner's call of `answer`. LINGERING discards further input, so
+that the caller can read the last response before the connection closes; a connection that is ended between
+two requests lingers as well, since the next request may be in flight.
 """
 
 from __future__ import annotations
@@ -31,34 +31,37 @@
 from flintfield.wire.http1.reply import Reply, frame, reply_to_bad
 from flintfield.wire.http1.request import Ended, RequestReader
 from flintfield.wire.http1.stream import Stream
-from flintfield.wire.http1.submission import MOST_BODY, BadRequest, Request
+from flintfield.wire.http1.submission import MAX_BODY, BadRequest, Request
 
-# A request must be whole by then: after the connection was taken, or after its first byte on a kept one.
-# Guards against callers that stall or say nothing: each holds a descriptor and some memory.
+# Time limit for receiving a complete request, from the accept or, on a kept-alive connection, from its first
+# byte. Callers that stall or send nothing would otherwise hold a descriptor and some memory each.
 REQUEST_S = 2.0
-LINGER_S = 2.0  # how long we let the other side read our last answer before the connection is closed
-DRAIN_S = 5.0  # from the start of the connection or its request, for one that is still sending its body
-DRAIN_PAUSE_S = 0.004  # between two looks at what is thrown away: other legs have their turn meanwhile
+LINGER_S = 2.0  # time for the caller to read the last response before the connection is closed
+DRAIN_S = 5.0  # limit for a caller still sending its body, from the start of the connection or its request
+DRAIN_PAUSE_S = 0.004  # pause between two reads of discarded input, so that other connections get their turn
 
 
-class House(Protocol):
-    """Whose legs they are."""
+class LegOwner(Protocol):
+    """The owner of a set of connections, called on their events."""
 
     def take(self, leg: Leg, request: Request) -> Reply | None:
-        """A whole request: its answer, or None if `leg.answer` follows; a `BadRequest` is answered too."""
+        """Handle a complete request. Returns the response, or None if `leg.answer` will be called.
+
+        A `BadRequest` that it raises is sent as the response.
+        """
 
     def leave(self, leg: Leg) -> None:
-        """The caller left, or sent on, before its answer; `leg.answer` may still be called."""
+        """The caller closed the connection or sent more before the response; `leg.answer` may still come."""
 
     def refuse(self, leg: Leg, reply: Reply) -> None:
-        """A request that can not be read, or came too late, is answered so."""
+        """A request that is invalid, or timed out, is being answered with this error response."""
 
     def end(self, leg: Leg, error: Exception | None) -> None:
-        """The leg is closed, by an exception if there is one."""
+        """The connection is closed; `error` is the exception that caused it, if any."""
 
 
 class Phase(IntEnum):
-    """What a leg is doing."""
+    """State of a connection."""
 
     GATE = 0
     READING = 1
@@ -72,30 +75,31 @@
     """One connection of a caller."""
 
     urgent = False
-    __slots__ = ("_closes", "_coming", "_descriptor", "_events", "_house", "_left", "_poller", "_timer",
-                 "_unsound", "_waits", "began", "caller", "phase", "served", "stream", "ticket")
+    __slots__ = ("_close_after_answer", "_descriptor", "_events", "_got_early_data", "_owner", "_poller",
+                 "_reader", "_timeouts", "_timer", "_unsent", "began", "caller", "phase", "served", "stream",
+                 "ticket")
 
-    def __init__(self, stream: Stream, house: House, poller: Poller, waits: Waits[Leg],
+    def __init__(self, stream: Stream, owner: LegOwner, poller: Poller, timeouts: Waits[Leg],
                  caller: Hashable) -> None:
         self.stream, self.caller = stream, caller
-        self._house, self._poller, self._waits = house, poller, waits
+        self._owner, self._poller, self._timeouts = owner, poller, timeouts
         self._descriptor = stream.descriptor
-        self.began = poller.loop.time()  # when it was taken, or when the first byte of its request came
+        self.began = poller.loop.time()  # time of the accept, or of the first byte of the current request
         self.phase = Phase.GATE
         self.served = False
-        self.ticket = 0  # the house's own
-        self._coming: RequestReader | None = None
-        self._closes = False  # the connection ends with this answer
-        self._unsound = False  # it sent more than one request at a time
-        self._left: list[memoryview] = []  # what of an answer the kernel has not taken
-        self._events = READ  # what the poller looks for
+        self.ticket = 0  # for the owner's use
+        self._reader: RequestReader | None = None
+        self._close_after_answer = False  # the connection closes after this response
+        self._got_early_data = False  # the caller sent more data before the response
+        self._unsent: list[memoryview] = []  # parts of the response not yet sent
+        self._events = READ  # events registered with the poller
         self._timer: asyncio.TimerHandle | None = None
-        waits.add(self)
+        timeouts.add(self)
 
     def watch(self, read: bytes = b"") -> None:
-        """Begin; `read` is what was read of the first request before."""
+        """Start reading; `read` is the part of the first request that was read during the access check."""
         if self.phase is not Phase.GATE:
-            return  # it was closed meanwhile
+            return  # it was closed during the access check
         self.phase = Phase.READING
         self._poller.watch(self._descriptor, self)
         if read:
@@ -105,130 +109,131 @@
 
     @property
     def idle(self) -> bool:
-        """Between two requests, or before the first, and not a byte of the next one read."""
-        return self.phase is Phase.GATE or (self.phase is Phase.READING and self._coming is None)
+        """Whether it is before or between requests, with no byte of the next one read."""
+        return self.phase is Phase.GATE or (self.phase is Phase.READING and self._reader is None)
 
-    # ------------------------------------------------------------ its turns
+    # ---------------------------------------------------- events and timers
 
     def ready(self) -> None:
-        """Do what can be done now."""
+        """Handle readiness of the socket without blocking."""
         if self.phase is Phase.READING:
             self._read()
         elif self.phase is Phase.WAITING:
-            self._watch_leaving()
+            self._read_while_waiting()
         elif self.phase is Phase.WRITING:
             self._flush()
         elif self.phase is Phase.LINGERING:
-            self._throw_away()
+            self._discard_input()
 
     def broke(self, error: Exception) -> None:
-        """An exception stops here."""
+        """Close the connection after an exception."""
         self.close(error)
 
     def time_over(self) -> None:
-        """The time for a request is over."""
-        # Guards against closing on a request that came in time and that a busy loop had no turn to read.
+        """Handle the timeout of a request."""
+        # A request may have arrived in time while a busy event loop had not yet read it.
         while self.phase is Phase.READING and self._read():
             pass
         if self.phase is not Phase.READING or (self.served and self.idle):
-            return  # it came in time after all
-        if self._coming is None:
+            return  # it arrived in time
+        if self._reader is None:
             self.finish()
         else:
             self._refuse(BadRequest(408, "the request did not come to its end"))
 
     def close_after(self, seconds: float) -> None:
-        """Close then, whatever it is doing."""
+        """Close the connection after that time, in any phase."""
         self._poller.later(seconds, self, self.close)
 
     def finish(self) -> None:
-        """End an idle connection: what crosses our end is thrown away unread; by that end its caller knows.
+        """End an idle connection gracefully: shut down sending and discard a request that is in flight.
 
-        Guards against a close over unread bytes: it resets, and takes along what was not yet delivered.
+        The caller can tell from the end of the stream that the request was not processed. Closing with
+        unread input would send a reset, which also discards data not yet delivered to the caller.
         """
         if self.phase is Phase.GATE:
-            self.close()  # not a byte of it is ours to read
+            self.close()  # nothing may be read before the access check is done
         else:
-            self._waits.remove(self)
+            self._timeouts.remove(self)
             self._linger()
 
     def hurry(self, seconds: float) -> None:
-        """Linger no longer than that, whatever still comes."""
+        """Limit the remaining lingering time, even if input still arrives."""
         if self.phase is Phase.LINGERING and self._timer:
             self.began = min(self.began, self._poller.loop.time() - DRAIN_S)
-            ends = min(self._timer.when(), self._poller.loop.time() + seconds)
+            deadline = min(self._timer.when(), self._poller.loop.time() + seconds)
             self._timer.cancel()
-            self._timer = self._poller.loop.call_at(ends, self.close)
+            self._timer = self._poller.loop.call_at(deadline, self.close)
 
     def close(self, error: Exception | None = None) -> None:
-        """Close now."""
+        """Close the connection immediately."""
         if self.phase is Phase.CLOSED:
             return
-        self.phase, self._coming, self._left = Phase.CLOSED, None, []
+        self.phase, self._reader, self._unsent = Phase.CLOSED, None, []
         if self._timer:
             self._timer.cancel()
-        self._waits.remove(self)
+        self._timeouts.remove(self)
         self._poller.forget(self._descriptor)
         self.stream.close()
-        self._house.end(self, error)
+        self._owner.end(self, error)
 
     # -------------------------------------------------------------- reading
 
     def _read(self) -> bool:
-        """Take in what has come; whether there was any."""
+        """Read and process available input; returns whether there was any."""
         if (data := self.stream.read_now()) is None:
             return False
-        if not data and self._coming is None:
+        if not data and self._reader is None:
             self.close()
             return False
-        if self.served and self._coming is None:
+        if self.served and self._reader is None:
             self.began = self._poller.loop.time()
         self._feed(data)
         return bool(data)
 
     def _feed(self, data: bytes) -> None:
-        coming = self._coming
-        if coming is None:
+        reader = self._reader
+        if reader is None:
             if request := read_request(data):
-                self._take(request)
+                self._handle_request(request)
                 return
-            coming = self._coming = RequestReader()
+            reader = self._reader = RequestReader()
             if self.served:
-                self._waits.add(self)
+                self._timeouts.add(self)
         try:
-            request = coming.take(data)
+            request = reader.take(data)
         except Ended:
             self.close()
         except (BadRequest, h11.RemoteProtocolError) as error:
             self._refuse(error)
         else:
             if request:
-                self._take(request)
-            elif go_on := coming.go_on():
+                self._handle_request(request)
+            elif go_on := reader.go_on():
                 self.stream.send_now(go_on)
 
-    def _take(self, request: Request) -> None:
-        self._waits.remove(self)
+    def _handle_request(self, request: Request) -> None:
+        self._timeouts.remove(self)
         self.phase = Phase.WAITING
         try:
-            reply = self._house.take(self, request)
+            reply = self._owner.take(self, request)
         except BadRequest as error:
             self._refuse(error)
             return
         if reply:
             self.answer(reply)
 
-    def _watch_leaving(self) -> None:
-        """Notice a caller that leaves before its answer: its job need not go on."""
+    def _read_while_waiting(self) -> None:
+        """Detect a caller that closes the connection before its response: its job may be cancelled."""
         if self._events == NOTHING:
-            self.close()  # it was told before, and now the other side is gone altogether
+            self.close()  # the owner knows already; now the connection is fully closed or reset
         elif (data := self.stream.read_now()) is not None:
-            self._unsound = bool(data)
-            self._house.leave(self)
+            self._got_early_data = bool(data)
+            self._owner.leave(self)
             if self.phase is Phase.WAITING:
-                self._look_for(NOTHING)  # the answer is still to come
+                self._set_events(NOTHING)  # the response is still outstanding
 
-    def _look_for(self, events: int) -> None:
+    def _set_events(self, events: int) -> None:
         if events != self._events:
             self._events = events
             self._poller.change(self._descriptor, events)
@@ -237,63 +242,63 @@
 
     def _refuse(self, error: BadRequest | h11.RemoteProtocolError) -> None:
         reply = reply_to_bad(error)
-        self._house.refuse(self, reply)
+        self._owner.refuse(self, reply)
         self._write(reply)
 
-    def answer_bad(self, error: BadRequest) -> None:
-        """Answer the request that waits with what is wrong with it."""
+    def answer_error(self, error: BadRequest) -> None:
+        """Answer the waiting request with an error response."""
         if self.phase is Phase.WAITING:
             self._refuse(error)
 
     def answer(self, reply: Reply) -> None:
-        """Write the answer to the request that waits for it."""
+        """Write the response to the waiting request."""
         if self.phase is not Phase.WAITING:
             return
-        if self._unsound:
+        if self._got_early_data:
             self._refuse(BadRequest(400, "more came before the answer"))
         else:
             self._write(reply)
 
     def _write(self, reply: Reply) -> None:
-        self._waits.remove(self)
+        self._timeouts.remove(self)
         self.phase = Phase.WRITING
-        parser = self._coming.parser if self._coming else None
-        if self._coming is None or parser is None:
-            self._coming = None
-            self._closes = reply.close
-            self._left = [memoryview(frame(reply))]
+        parser = self._reader.parser if self._reader else None
+        if self._reader is None or parser is None:
+            self._reader = None
+            self._close_after_answer = reply.close
+            self._unsent = [memoryview(frame(reply))]
             self._flush()
             return
         headers = [*reply.headers, (b"Content-Length", b"%d" % len(reply.body))]
         if reply.close or parser.their_state not in (h11.DONE, h11.IDLE):
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=reply.status, headers=headers)
-        body = b"" if self._coming.bodiless else reply.body
+        body = b"" if self._reader.bodiless else reply.body
         parts = [parser.send(p) or b"" for p in (head, h11.Data(data=body), h11.EndOfMessage())]
-        self._closes = not (parser.our_state is h11.DONE and parser.their_state is h11.DONE)
-        # A long body, of which there is one for many readers, is not copied to stand behind its head.
-        self._left = [memoryview(p) for p in (parts if len(body) > MOST_BODY else [b"".join(parts)]) if p]
-        self._coming = None
+        self._close_after_answer = not (parser.our_state is h11.DONE and parser.their_state is h11.DONE)
+        # A long body is shared by many readers, so it is sent separately rather than copied behind the head.
+        self._unsent = [memoryview(p) for p in (parts if len(body) > MAX_BODY else [b"".join(parts)]) if p]
+        self._reader = None
         self._flush()
 
     def _flush(self) -> None:
-        """Hand over what is left of an answer."""
-        while self._left:
-            sent = self.stream.send_now(self._left[0])
+        """Send the rest of the response, as far as the kernel accepts it."""
+        while self._unsent:
+            sent = self.stream.send_now(self._unsent[0])
             if sent is None:
                 self.close()
                 return
-            if sent < len(self._left[0]):
-                self._left[0] = self._left[0][sent:]
-                self._look_for(WRITE)
+            if sent < len(self._unsent[0]):
+                self._unsent[0] = self._unsent[0][sent:]
+                self._set_events(WRITE)
                 return
-            del self._left[0]
-        self._look_for(READ)
-        self._written()
+            del self._unsent[0]
+        self._set_events(READ)
+        self._on_answer_sent()
 
-    def _written(self) -> None:
+    def _on_answer_sent(self) -> None:
         self.served = True
-        if self._closes:
+        if self._close_after_answer:
             self._linger()
         else:
             self.phase = Phase.READING
@@ -301,9 +306,9 @@
     # ------------------------------------------------------------ lingering
 
     def _linger(self) -> None:
-        """Throw away what still comes, unread by any parser, until the caller has had our last answer.
+        """Discard further input until the caller has had time to read the last response.
 
-        Guards against a reset that overtakes the answer: bytes unread at a close make the kernel send one.
+        Closing with unread input makes the kernel send a reset, which may overtake the response.
         """
         self.phase = Phase.LINGERING
         self.stream.end_sending()
@@ -312,21 +317,21 @@
             return
         self._timer = self._poller.later(LINGER_S, self, self.close)
 
-    def _throw_away(self) -> None:
-        thrown = self.stream.throw_away()
-        if thrown is None:
+    def _discard_input(self) -> None:
+        discarded = self.stream.discard_input()
+        if discarded is None:
             return
-        if thrown == 0:
+        if discarded == 0:
             self.close()
             return
-        self._look_for(NOTHING)
-        self._poller.later(DRAIN_PAUSE_S, self, self._throw_on)
+        self._set_events(NOTHING)
+        self._poller.later(DRAIN_PAUSE_S, self, self._resume_discarding)
         assert self._timer
-        ends = self.began + DRAIN_S
-        if ends > self._timer.when():
+        deadline = self.began + DRAIN_S
+        if deadline > self._timer.when():
             self._timer.cancel()
-            self._timer = self._poller.loop.call_at(ends, self.close)
+            self._timer = self._poller.loop.call_at(deadline, self.close)
 
-    def _throw_on(self) -> None:
+    def _resume_discarding(self) -> None:
         if self.phase is Phase.LINGERING:
-            self._look_for(READ)
+            self._set_events(READ)
--- a/flintfield/wire/http1/poller.py
+++ b/flintfield/wire/http1/poller.py
@@ -1,24 +1,25 @@
-"""Wakes connections that can go on, without a task for any of them.
+"""Calls connections whose sockets are ready, without a task per connection.
 
 Rules:
 
-1. Nobody waits here: whoever is watched is an object whose `ready` does what can be done now, and returns. A
-   wake may be for nothing, so `ready` must bear to find neither bytes nor room.
-2. An exception that leaves `ready` stops at its connection: `broke` is told, and nobody else is touched.
-3. Whoever works for a caller names it. One caller's connections, however many, take turns with the others'
-   callers, not with their connections.
-
-Theory of operation. All sockets stand in the event loop's own epoll set (`sockets.py`), told in one batch a
-turn: a waiting task for each socket would cost a future, a registration and a pass through the loop for each
-wake (measured: 35 us a wait through anyio, 5 us here). Of a batch, listeners and spare connections go first,
-for they are few. The others, a caller's leg and the branches of its jobs, stand under that caller, what ends
-work before what begins it; one after the other is woken, in turn with those of other callers, until a turn's
-worth is done. Then the event loop has its own turn: timers, tasks, and this poller again, which is told anew.
-The set is level-triggered: who was not woken is ready again in the next turn, at no cost but the asking.
+1. Nothing blocks here: a watched object's `ready` does what can be done now and returns. Wake-ups may be
+   spurious, so `ready` must cope with finding no data to read and no room to write.
+2. An exception raised by `ready` affects only its connection, whose `broke` is called.
+3. An object that works for a caller names that caller. Turns are shared among callers, not among
+   connections, so opening many connections gains a caller nothing.
+
+Theory of operation. All sockets are in the event loop's own epoll set (`sockets.py`) and are reported in one
+batch per iteration: a waiting task per socket would cost a future, a registration and an iteration of the
+loop for each wake-up (35 us per wait through anyio, 5 us here). Listeners and idle connections of a batch are
+called first, because they are few. The others, a caller's connections and the branches of its jobs, are
+grouped by caller, with those that finish work before those that begin it. One per caller is called in
+round-robin order, up to a limit per turn. Then the event loop runs timers and tasks, and calls this poller
+again with a new batch. The set is level-triggered: a socket that was not served is reported again in the next
+iteration, at only the cost of the query.
 
 Fairness is the plain round robin of J. Nagle, "On Packet Switches With Infinite Storage" (RFC 970, 1985),
-with a wake for a packet and a caller's address for a source. Weights and deficits as of later work were left
-out: wakes cost us about the same, whatever the size of what they bring.
+with wake-ups for packets and a caller's address for a source. Weights and deficits as in later work are not
+used: a wake-up costs about the same whatever the amount of data.
 """
 
 from __future__ import annotations
@@ -33,30 +34,30 @@
 
 from flintfield.wire.http1.sockets import Batch, Loop
 
-READ, WRITE, NOTHING = select.EPOLLIN, select.EPOLLOUT, 0  # an end or an error is told with any of them
-TURN = 32  # woken for callers before the event loop has its turn; at 0.1 ms each that is 3 ms
+READ, WRITE, NOTHING = select.EPOLLIN, select.EPOLLOUT, 0  # hangups and errors are reported with any of them
+TURN = 32  # calls on behalf of callers per iteration of the event loop; at 0.1 ms each, about 3 ms
 
 
 class Watched(Protocol):
-    """What can be watched: something with one socket."""
+    """An object with one socket that the poller can watch."""
 
     @property
     def caller(self) -> Hashable | None:
-        """The caller that it works for, and that takes turns with the others; None goes before all."""
+        """The caller that it works for, the unit of fairness; objects with None are called first."""
 
     @property
     def urgent(self) -> bool:
-        """Whether it ends work that was begun: of one caller's, it goes first."""
+        """Whether it finishes work in progress; it then goes first among its caller's objects."""
 
     def ready(self) -> None:
-        """Something may go on: do what can be done without waiting."""
+        """The socket may be ready: do what can be done without blocking."""
 
     def broke(self, error: Exception) -> None:
-        """`ready` raised this: give up."""
+        """`ready` raised this exception: close."""
 
 
 class Poller:
-    """Sockets of one event loop that are served without tasks; made within a running `Loop`."""
+    """Serves sockets of one event loop without tasks; must be created within a running `Loop`."""
 
     def __init__(self, turn: int = TURN) -> None:
         loop = asyncio.get_running_loop()
@@ -64,16 +65,16 @@
             raise TypeError(f"the poller needs a {Loop.__qualname__}, this is a {type(loop).__qualname__}")
         self.loop = loop
         self._sockets = loop.sockets
-        self._batch = Batch(self._turn)
+        self._batch = Batch(self._on_ready)
         self._turn_size = turn
         self._watched: dict[int, Watched] = {}  # by descriptor
-        self._gone: set[int] = set()  # descriptors let go of in this turn: what is told of them is old
-        self._order: OrderedDict[Hashable, None] = OrderedDict()  # callers, the one longest unserved first
-        self._turning = False
-        self._soon: deque[tuple[Watched, Callable[[], None]]] = deque()  # calls for the end of this turn
+        self._released: set[int] = set()  # released in this turn; their remaining events are stale
+        self._served_order: OrderedDict[Hashable, None] = OrderedDict()  # least recently served first
+        self._in_turn = False
+        self._deferred: deque[tuple[Watched, Callable[[], None]]] = deque()  # run after this turn
 
     def close(self) -> None:
-        """Watch nobody any more."""
+        """Stop watching all sockets."""
         for descriptor in self._watched:
             self._sockets.stop(descriptor)
         self._watched.clear()
@@ -88,59 +89,59 @@
     # ------------------------------------------------------------ the watched
 
     def watch(self, descriptor: int, watched: Watched, events: int = READ) -> None:
-        """Wake `watched` when one of the events has come, until `forget`."""
+        """Call `watched.ready` when one of the events occurs, until `forget`."""
         self._sockets.watch(descriptor, self._batch, events)
         self._watched[descriptor] = watched
 
     def change(self, descriptor: int, events: int) -> None:
-        """Look for other events; an end or an error is told whatever is asked for."""
+        """Change the watched events; hangups and errors are always reported."""
         self._sockets.change(descriptor, events)
 
     def hand(self, descriptor: int, watched: Watched) -> None:
-        """Wake somebody else from now on."""
+        """Transfer a watched descriptor to another object."""
         self._watched[descriptor] = watched
 
     def forget(self, descriptor: int) -> None:
-        """Let go of a descriptor that is closed next, which takes it out of the set."""
+        """Forget a descriptor that is about to be closed; closing removes it from the epoll set."""
         if self._watched.pop(descriptor, None) is not None:
-            self._gone.add(descriptor)
+            self._released.add(descriptor)
             self._sockets.forget(descriptor)
 
     def stop(self, descriptor: int) -> None:
-        """Let go of a descriptor whose socket stays open elsewhere, and so would stay in the set."""
+        """Unregister a descriptor whose socket stays open elsewhere and so would remain in the set."""
         if self._watched.pop(descriptor, None) is not None:
-            self._gone.add(descriptor)
+            self._released.add(descriptor)
             self._sockets.stop(descriptor)
 
     def later(self, seconds: float, watched: Watched, call: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call once after that time, for what is rare; what is raised is told to `watched`."""
+        """Call once after that time; exceptions go to `watched.broke`. Meant for rare timers."""
         return self.loop.call_later(seconds, _guarded, watched, call)
 
     def soon(self, watched: Watched, call: Callable[[], None]) -> None:
-        """Call once what runs now has returned; what is raised is told to `watched`."""
-        if self._turning:
-            self._soon.append((watched, call))  # at the end of this turn: sooner than the loop would
+        """Call after the current callback has returned; exceptions go to `watched.broke`."""
+        if self._in_turn:
+            self._deferred.append((watched, call))  # sooner than the loop's next iteration
         else:
             self.loop.call_soon(_guarded, watched, call)
 
     # --------------------------------------------------------------- the turn
 
-    def _turn(self, ready: list[tuple[int, int]]) -> None:
-        self._turning = True
+    def _on_ready(self, ready: list[tuple[int, int]]) -> None:
+        self._in_turn = True
         try:
             self._wake_ready(ready)
-            while self._soon:
-                _guarded(*self._soon.popleft())
+            while self._deferred:
+                _guarded(*self._deferred.popleft())
         finally:
-            self._turning = False
-            self._gone.clear()
+            self._in_turn = False
+            self._released.clear()
 
     def _wake_ready(self, ready: list[tuple[int, int]]) -> None:
-        """Wake those who work for nobody, then the others: the urgent first, or caller by caller."""
+        """Call objects without a caller, then the others: urgent ones first, in turns if there are many."""
         urgent: list[tuple[int, Hashable]] = []
         others: list[tuple[int, Hashable]] = []
         for descriptor, _ in ready:
-            if (watched := self._watched.get(descriptor)) is None or descriptor in self._gone:
+            if (watched := self._watched.get(descriptor)) is None or descriptor in self._released:
                 continue
             if (caller := watched.caller) is None:
                 _guarded(watched, watched.ready)
@@ -151,39 +152,39 @@
         if len(urgent) + len(others) > self._turn_size:
             self._take_turns(urgent + others)
             return
-        self._order.clear()
+        self._served_order.clear()
         for descriptor, _ in urgent:
             self._wake(descriptor)
         for descriptor, _ in others:
             self._wake(descriptor)
 
     def _take_turns(self, ready: list[tuple[int, Hashable]]) -> None:
-        """Wake one of each caller after the other, as many as a turn has."""
+        """Call one object per caller in round-robin order, up to the limit per turn."""
         waiting: dict[Hashable, deque[int]] = {}
         for descriptor, caller in ready:
             waiting.setdefault(caller, deque()).append(descriptor)
-        # Who was served in the last turn and waits again stands behind those who were not.
-        last = [caller for caller in self._order if caller in waiting]
-        order = deque([*(c for c in waiting if c not in self._order), *last])
-        self._order = OrderedDict.fromkeys(last)
+        # Callers served in the last turn come after those that were not.
+        last = [caller for caller in self._served_order if caller in waiting]
+        order = deque([*(c for c in waiting if c not in self._served_order), *last])
+        self._served_order = OrderedDict.fromkeys(last)
         for _ in range(self._turn_size):
             caller = order.popleft()
             self._wake(waiting[caller].popleft())
             if waiting[caller]:
                 order.append(caller)
-            self._order[caller] = None
-            self._order.move_to_end(caller)
+            self._served_order[caller] = None
+            self._served_order.move_to_end(caller)
 
     def _wake(self, descriptor: int) -> None:
         watched = self._watched.get(descriptor)
-        if watched is not None and descriptor not in self._gone:
+        if watched is not None and descriptor not in self._released:
             _guarded(watched, watched.ready)
 
 
 def _guarded(watched: Watched, call: Callable[[], None]) -> None:
     try:
         call()
-    except Exception as error:  # exceptions stop at the connection
+    except Exception as error:  # must not affect other connections
         watched.broke(error)
 
 
@@ -191,38 +192,38 @@
 
 
 class Waits(Generic[Item]):
-    """Those that all wait equally long: the first to come is the first whose time is over.
+    """Timeouts of equal length, so that they expire in the order in which they were added.
 
-    Adding and removing cost an entry of a dictionary; the event loop has one timer for all, however many.
+    Adding and removing cost one dictionary operation; the event loop has a single timer for all of them.
     """
 
-    def __init__(self, poller: Poller, seconds: float, over: Callable[[Item], None]) -> None:
-        self._loop, self._seconds, self._over = poller.loop, seconds, over
-        self._ends: dict[Item, float] = {}  # on the loop's clock, in order
+    def __init__(self, poller: Poller, seconds: float, on_timeout: Callable[[Item], None]) -> None:
+        self._loop, self._seconds, self._on_timeout = poller.loop, seconds, on_timeout
+        self._deadlines: dict[Item, float] = {}  # by the loop's clock, in order
         self._armed = False
 
     def add(self, item: Item) -> None:
-        """Let it wait from now on."""
-        self._ends.pop(item, None)  # it stands last now
-        self._ends[item] = ends = self._loop.time() + self._seconds
+        """Start or restart the timeout of an item."""
+        self._deadlines.pop(item, None)  # moves it to the end
+        self._deadlines[item] = deadline = self._loop.time() + self._seconds
         if not self._armed:
             self._armed = True
-            self._loop.call_at(ends, self._ring)
+            self._loop.call_at(deadline, self._on_timer)
 
     def remove(self, item: Item) -> None:
-        """It waits no longer, if it did."""
-        self._ends.pop(item, None)
+        """Cancel the timeout of an item, if it has one."""
+        self._deadlines.pop(item, None)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         now = self._loop.time()
-        while self._ends:
-            item, ends = next(iter(self._ends.items()))
-            if ends > now:
-                self._loop.call_at(ends, self._ring)
+        while self._deadlines:
+            item, deadline = next(iter(self._deadlines.items()))
+            if deadline > now:
+                self._loop.call_at(deadline, self._on_timer)
                 return
-            del self._ends[item]
+            del self._deadlines[item]
             try:
-                self._over(item)
-            except Exception as error:  # exceptions stop at the connection
+                self._on_timeout(item)
+            except Exception as error:  # must not affect other connections
                 item.broke(error)
         self._armed = False
--- a/flintfield/wire/http1/reply.py
+++ b/flintfield/wire/http1/reply.py
@@ -1,4 +1,4 @@
-"""An answer to a caller as its parts, and the bytes of a regular one."""
+"""Responses to callers, and the encoding of a response to a regular request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @value
 class Reply:
-    """An answer's parts, before they are framed."""
+    """A response before encoding."""
 
     status: int
     body: bytes
@@ -19,13 +19,13 @@
 
 
 def reply_to_bad(error: BadRequest | h11.RemoteProtocolError) -> Reply:
-    """The answer to what can not be read, or asks for what is not there."""
+    """The response to a request that can't be parsed or is invalid."""
     status = error.status if isinstance(error, BadRequest) else error.error_status_hint
     return Reply(status, f"{error}\n".encode(), (), close=True)
 
 
 def frame(reply: Reply) -> bytes:
-    """The bytes of an answer to a regular request, as h11 would write them."""
+    """Encode the response to a regular request, byte for byte as h11 would."""
     headers = b"".join(b"%b: %b\r\n" % pair for pair in reply.headers)
     close = b"Connection: close\r\n" if reply.close else b""
     return b"HTTP/1.1 %d \r\n%bContent-Length: %d\r\n%b\r\n%b" % (
--- a/flintfield/wire/http1/sockets.py
+++ b/flintfield/wire/http1/sockets.py
@@ -1,18 +1,18 @@
-"""The event loop's one set of sockets: its own readers and writers, and those that are told in batches.
+"""The event loop's selector: one epoll set for asyncio's own descriptors and for those reported in batches.
 
 Rules:
 
-1. There is one epoll set and one wait, the event loop's. A set within the set (`epoll(7)` allows it) is a
-   file that not every stand-in of a kernel wakes for: on a platform that leads a process's system calls
-   elsewhere, a scheduler whose sockets stood in such a set took no connection at all.
-2. Nothing is decided here. Who is ready is noted in the batch of whom it belongs to, and the batch is handed
-   on in the event loop's same turn.
-
-Theory of operation. asyncio waits in `select` of a `selectors.BaseSelector`; this is one, over
-`select.epoll`. What the loop registers is told to the loop as by `selectors.EpollSelector`. What is
-registered by `watch` costs no key and no handle: its descriptor and events go to its batch, and the batch's
-owner is called once, as a callback of that same turn (`call_soon` from within `select`, which runs on the
-loop's own thread).
+1. There is one epoll set and one wait, the event loop's. `epoll(7)` allows nesting an epoll set in another,
+   but not every kernel substitute wakes for a nested one: on a platform that redirects a process's system
+   calls, a scheduler whose sockets were in a nested set accepted no connection at all.
+2. This module makes no decisions. A ready descriptor is recorded in its owner's batch, and the batch is
+   delivered in the same iteration of the event loop.
+
+Theory of operation. asyncio waits in `select` of a `selectors.BaseSelector`; this is one, based on
+`select.epoll`. Descriptors that the loop registers are reported to the loop as by `selectors.EpollSelector`.
+Descriptors registered by `watch` need no key and no handle: their events go to their batch, and the batch's
+owner is called once, as a callback of the same iteration (`call_soon` from within `select`, which runs on
+the loop's own thread).
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol, cast
 
-MOST_READY = 8_192  # asked for at once
+MAX_EVENTS = 8_192  # most events fetched by one epoll wait
 
 
 class HasFileno(Protocol):
-    """What has a descriptor."""
+    """An object with a file descriptor."""
 
     def fileno(self) -> int:
         """The descriptor."""
 
 
 class Batch:
-    """Descriptors of one owner, and what was told of them since it was last called."""
+    """Events of one owner's descriptors since the owner was last called."""
 
-    __slots__ = ("called", "ready")
+    __slots__ = ("callback", "ready")
 
-    def __init__(self, called: Callable[[list[tuple[int, int]]], None]) -> None:
-        self.called = called
+    def __init__(self, callback: Callable[[list[tuple[int, int]]], None]) -> None:
+        self.callback = callback
         self.ready: list[tuple[int, int]] = []
 
     def hand_on(self) -> None:
-        """Call the owner with pairs of descriptor and epoll events."""
+        """Call the owner with the collected pairs of descriptor and epoll events."""
         ready, self.ready = self.ready, []
-        self.called(ready)
+        self.callback(ready)
 
 
 class SocketSet(selectors.BaseSelector):
-    """An epoll set; a selector to the event loop, with descriptors beside the loop's that go to batches."""
+    """An epoll set: the event loop's selector, with further descriptors that are reported to batches."""
 
     def __init__(self) -> None:
         self._epoll = select.epoll()
@@ -59,10 +59,10 @@
         self._batches: dict[int, Batch] = {}  # by descriptor
         self.soon: Callable[[Callable[[], None]], object]  # the event loop's call_soon
 
-    # ---------------------------------------------------------- the loop's own
+    # --------------------------------------------- selector of the event loop
 
     def register(self, fileobj: int | HasFileno, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Look for events; errors as of `selectors.BaseSelector`."""
+        """Register for events; raises as `selectors.BaseSelector.register` does."""
         descriptor = _descriptor(fileobj)
         if descriptor in self._keys:
             raise KeyError(f"{descriptor} is registered")
@@ -71,14 +71,14 @@
         return key
 
     def unregister(self, fileobj: int | HasFileno) -> selectors.SelectorKey:
-        """Look no more; errors as of `selectors.BaseSelector`."""
+        """Unregister; raises as `selectors.BaseSelector.unregister` does."""
         key = self._keys.pop(_descriptor(fileobj))
-        with contextlib.suppress(OSError):  # it was closed before, which took it out of the set
+        with contextlib.suppress(OSError):  # already closed, which removed it from the set
             self._epoll.unregister(key.fd)
         return key
 
     def modify(self, fileobj: int | HasFileno, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Look for other events; errors as of `selectors.BaseSelector`."""
+        """Change the events; raises as `selectors.BaseSelector.modify` does."""
         key = self._keys[_descriptor(fileobj)]
         if events != key.events:
             self._epoll.modify(key.fd, _epoll_events(events))
@@ -86,16 +86,16 @@
         return key
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait up to `timeout` s (None: for ever); tell the loop of its own, note the others."""
-        # Up, not down: guards against turn after turn before the time.
+        """Wait up to `timeout` s (None: no limit); return the loop's own events, batch the others."""
+        # Rounded up: rounding down would spin through iterations just before a timer is due.
         wait = -1.0 if timeout is None else 0.0 if timeout <= 0 else math.ceil(timeout * 1e3) * 1e-3
-        most = min(MOST_READY, len(self._keys) + len(self._batches) + 1)
+        max_events = min(MAX_EVENTS, len(self._keys) + len(self._batches) + 1)
         try:
-            told = self._epoll.poll(wait, most)
+            events_by_descriptor = self._epoll.poll(wait, max_events)
         except InterruptedError:
             return []
-        own: list[tuple[selectors.SelectorKey, int]] = []
-        for descriptor, events in told:
+        loop_events: list[tuple[selectors.SelectorKey, int]] = []
+        for descriptor, events in events_by_descriptor:
             if batch := self._batches.get(descriptor):
                 if not batch.ready:
                     self.soon(batch.hand_on)
@@ -104,8 +104,8 @@
                 mask = ((selectors.EVENT_WRITE if events & ~select.EPOLLIN else 0)
                         | (selectors.EVENT_READ if events & ~select.EPOLLOUT else 0))
                 if mask & key.events:
-                    own.append((key, mask & key.events))
-        return own
+                    loop_events.append((key, mask & key.events))
+        return loop_events
 
     def get_map(self) -> Mapping[int | HasFileno, selectors.SelectorKey]:
         """The event loop's keys, by descriptor."""
@@ -116,34 +116,34 @@
         return self._keys[_descriptor(fileobj)]
 
     def close(self) -> None:
-        """Let go of all."""
+        """Drop all registrations and close the epoll set."""
         self._keys.clear()
         self._batches.clear()
         self._epoll.close()
 
-    # ------------------------------------------------------------ in batches
+    # ----------------------------------------------- descriptors in batches
 
     def watch(self, descriptor: int, batch: Batch, events: int) -> None:
-        """Note epoll events of a descriptor in that batch; an OSError tells why it can not be."""
+        """Report epoll events of a descriptor to that batch; raises OSError if it can't be registered."""
         self._epoll.register(descriptor, events)
         self._batches[descriptor] = batch
 
     def change(self, descriptor: int, events: int) -> None:
-        """Look for other epoll events; an end or an error is told whatever is asked for."""
+        """Change the epoll events; hangups and errors are always reported."""
         self._epoll.modify(descriptor, events)
 
     def forget(self, descriptor: int) -> None:
-        """Let go of a descriptor that is closed next, which takes it out of the set."""
+        """Forget a descriptor that is about to be closed; closing removes it from the epoll set."""
         self._batches.pop(descriptor, None)
 
     def stop(self, descriptor: int) -> None:
-        """Look no more at a descriptor that stays open."""
+        """Unregister a descriptor that stays open."""
         if self._batches.pop(descriptor, None):
             self._epoll.unregister(descriptor)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """The event loop over a `SocketSet`, which stands in `sockets`."""
+    """An event loop that uses a `SocketSet`, available as `sockets`."""
 
     def __init__(self) -> None:
         self.sockets = SocketSet()
--- a/flintfield/wire/http1/status.py
+++ b/flintfield/wire/http1/status.py
@@ -1,6 +1,6 @@
-"""The status page: a listener of its own with few legs, which serve a snapshot that was made before.
+"""The status page: a separate listener with few connections that serves a prepared snapshot.
 
-Nothing is looked up for a reader, and a slow one holds nothing but its own leg, and that not for long.
+A request triggers no lookup, and a slow reader occupies only its own connection, for a limited time.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 from flintfield.wire.http1.stream import Stream, open_listener
 from flintfield.wire.http1.submission import BadRequest, Request
 
-MOST_LEGS = 8  # whoever comes beyond them waits in the kernel's queue
+MAX_CONNECTIONS = 8  # further connections wait in the kernel's accept queue
 BACKLOG = 16
-WRITE_S = 5.0  # a reader must have taken its page by then
-ACCEPT_PAUSE_S = 0.1  # after a lack of descriptors
+WRITE_S = 5.0  # time limit for a reader to receive its page
+ACCEPT_PAUSE_S = 0.1  # pause before the next accept after running out of descriptors
 HTML = ((b"Content-Type", b"text/html; charset=utf-8"),)
 JSON = ((b"Content-Type", b"application/json"),)
 STYLE = "body{font-family:sans-serif}table{border-collapse:collapse}th,td{padding:.2em 1em;text-align:left}"
 
 
 class StatusPage:
-    """Serves the last snapshot."""
+    """Serves the latest snapshot."""
 
     def __init__(self, scheduler: str, version: str, count: Callable[[str], None]) -> None:
         self._scheduler, self._version, self._count = scheduler, version, count
         self._pages: dict[bytes, Reply] = {}
         self._listener: socket.socket
-        self._room = anyio.Semaphore(MOST_LEGS)
+        self._slots = anyio.Semaphore(MAX_CONNECTIONS)
 
     def show(self, status: Status, more: Mapping[bytes, Reply]) -> None:
-        """Make the pages that are served from now on; `more` are others' pages, made beside them."""
+        """Render the pages to serve from now on; `more` holds further pages, by path."""
         self._pages = {
             **more,
             b"/": Reply(200, self._html(status).encode(), HTML, close=True),
@@ -66,18 +66,18 @@
             + "</body></html>\n")
 
     def listen(self, address: Address) -> int:
-        """Open the listening socket and tell its port."""
+        """Open the listening socket and return its port."""
         self._listener = open_listener(address, BACKLOG)
         return int(self._listener.getsockname()[1])
 
     async def accept_all(self, tasks: TaskGroup) -> None:
-        """Take readers in, while there is room for them, until it is cancelled."""
+        """Accept connections, up to `MAX_CONNECTIONS` at a time, until cancelled."""
         poller = Poller()
         tasks.start_soon(poller.run)
         waits: Waits[Leg] = Waits(poller, REQUEST_S, Leg.time_over)
         with self._listener:
             while True:
-                await self._room.acquire()
+                await self._slots.acquire()
                 sock, peer = await self._accept()
                 leg = Leg(Stream(sock), self, poller, waits, peer)
                 leg.watch()
@@ -89,38 +89,38 @@
                 sock, (peer, *_) = self._listener.accept()
                 return sock, peer
             except (BlockingIOError, ConnectionAbortedError):
-                continue  # it is gone again
-            except OSError:  # no descriptor or no memory is left
+                continue  # the peer closed it already
+            except OSError:  # out of descriptors or memory
                 await anyio.sleep(ACCEPT_PAUSE_S)
 
-    # --------------------------------------------------------------- its legs
+    # ------------------------------------------- callbacks of its connections
 
     def take(self, leg: Leg, request: Request) -> Reply:
-        """One reader: one request, one page."""
+        """Answer a request with a page; the connection closes after it."""
         page = self._pages.get(request.target.split(b"?", 1)[0])
         if page is None:
             raise BadRequest(404, "no such path")
         if request.method != b"GET":
             raise BadRequest(405, "this page is read with GET")
-        self._answered(leg, page)
+        self._count_answer(leg, page)
         return page
 
     def refuse(self, leg: Leg, reply: Reply) -> None:
-        """A request that can not be read, or asks for what is not there."""
-        self._answered(leg, reply)
+        """Count a request that can't be parsed or asks for an unknown path."""
+        self._count_answer(leg, reply)
 
-    def _answered(self, leg: Leg, reply: Reply) -> None:
+    def _count_answer(self, leg: Leg, reply: Reply) -> None:
         self._count(f"statuspage.answers.{reply.status}")
         leg.close_after(WRITE_S)
 
     def leave(self, leg: Leg) -> None:
-        """No answer is waited for here."""
+        """Nothing to cancel: every request is answered immediately."""
 
     def end(self, leg: Leg, error: Exception | None) -> None:
-        """A reader is gone."""
+        """Free the slot of a closed connection."""
         if error:
             self._count(f"statuspage.broken.{type(error).__name__}")
-        self._room.release()
+        self._slots.release()
 
 
 def _cells(server: Server) -> tuple[str, ...]:
@@ -129,7 +129,7 @@
 
 
 def _table(caption: str, heads: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    """A table; every text that comes in is escaped here."""
+    """Render an HTML table; all text is escaped here."""
     lines = [f"<tr>{''.join(f'<th>{escape(h)}</th>' for h in heads)}</tr>"]
     lines += [f"<tr>{''.join(f'<td>{escape(cell)}</td>' for cell in row)}</tr>" for row in rows]
     return f"<h2>{escape(caption)}</h2>\n<table>\n" + "\n".join(lines) + "\n</table>\n"
--- a/flintfield/wire/http1/stream.py
+++ b/flintfield/wire/http1/stream.py
@@ -1,8 +1,7 @@
-"""A non-blocking TCP socket. Errors are values: a short count when sending, an empty text when reading.
+"""A non-blocking TCP socket. Errors are values: a short count when sending, empty bytes when reading.
 
-anyio's own streams do not tell how much of a text the kernel took before a connection broke, nor do they
-close at once; both decide here whether a job may have run. So sockets are waited for with anyio and used
-directly.
+anyio's own streams don't report how many bytes the kernel accepted before a connection broke, and don't
+close immediately; both decide here whether a job may have run. So anyio is only used to wait for sockets.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 import anyio
 
 CHUNK = 65_536
-_DUMP = bytearray(CHUNK)  # for bytes that nobody reads
-DUMP_TURN = 8  # chunks of them at once: one a turn makes a long body outlast its time
+_DISCARD_BUFFER = bytearray(CHUNK)  # receives discarded bytes
+DISCARD_CHUNKS = 8  # chunks discarded per call; with one per call a long body would exceed the draining time
 
 
 class Stream:
@@ -27,22 +26,22 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock = sock
-        self._awaited = False  # a task may wait for it
+        self._awaited = False  # a task may be waiting for the socket
         self.closed = False
 
-    # ------------------------------------------------------------ at once
+    # --------------------------------------------------------- non-blocking
 
-    def read_now(self, most: int = CHUNK) -> bytes | None:
-        """The bytes that have come, empty after the end or if it broke; None if none have come."""
+    def read_now(self, max_bytes: int = CHUNK) -> bytes | None:
+        """Available bytes; empty at the end of the stream or on an error, None if there are none yet."""
         try:
-            return self._sock.recv(most)
+            return self._sock.recv(max_bytes)
         except BlockingIOError:
             return None
         except OSError:
             return b""
 
     def send_now(self, data: bytes | memoryview) -> int | None:
-        """How many of the bytes the kernel takes now; None if the connection broke."""
+        """Send without waiting; returns how many bytes the kernel accepted, None if the connection broke."""
         try:
             return self._sock.send(data)
         except BlockingIOError:
@@ -51,13 +50,13 @@
             return None
 
     def error(self) -> int:
-        """What became of a connect that is over: 0, or the error's number."""
+        """Result of a finished connect: 0 or the errno."""
         return self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
-    # -------------------------------------------------------------- in time
+    # ------------------------------------------------------------- with waiting
 
     async def send(self, data: bytes) -> int:
-        """Hand the bytes to the kernel; fewer than given means that the connection broke."""
+        """Send all bytes; a return value below their number means that the connection broke."""
         sent = 0
         while sent < len(data):
             try:
@@ -69,43 +68,46 @@
                 break
         return sent
 
-    async def receive(self, most: int = CHUNK, flags: int = 0) -> bytes:
-        """The next bytes; none once the other side has ended or the connection broke."""
+    async def receive(self, max_bytes: int = CHUNK, flags: int = 0) -> bytes:
+        """The next bytes; empty at the end of the stream or if the connection broke."""
         while not self.closed:
             try:
-                return self._sock.recv(most, flags)
+                return self._sock.recv(max_bytes, flags)
             except BlockingIOError:
                 await self._wait(anyio.wait_readable)
             except OSError:
                 break
         return b""
 
-    async def receive_by(self, deadline: float, most: int = CHUNK, flags: int = 0) -> bytes | None:
-        """The next bytes, empty at the end; None if by then nothing had come."""
+    async def receive_by(self, deadline: float, max_bytes: int = CHUNK, flags: int = 0) -> bytes | None:
+        """The next bytes, empty at the end of the stream; None if none arrived by the deadline."""
         with anyio.CancelScope(deadline=deadline):
-            return await self.receive(most, flags)
-        # Guards against closing on a request that came in time and that a busy loop had no turn to read.
+            return await self.receive(max_bytes, flags)
+        # Data may have arrived in time while a busy event loop had not yet read it.
         try:
-            return self._sock.recv(most, flags)
+            return self._sock.recv(max_bytes, flags)
         except BlockingIOError:
             return None
         except OSError:
             return b""
 
-    def throw_away(self) -> int | None:
-        """Drop bytes that have come, uncopied where the kernel can: how many, 0 at the end, None if none."""
-        thrown = 0
-        for _ in range(DUMP_TURN):
+    def discard_input(self) -> int | None:
+        """Discard available bytes, without copying if the kernel can. Returns their number.
+
+        0 means the end of the stream, None that there was nothing to read.
+        """
+        discarded = 0
+        for _ in range(DISCARD_CHUNKS):
             try:
-                piece = self._sock.recv_into(_DUMP, CHUNK, socket.MSG_TRUNC)
+                count = self._sock.recv_into(_DISCARD_BUFFER, CHUNK, socket.MSG_TRUNC)
             except BlockingIOError:
-                return thrown or None
+                return discarded or None
             except OSError:
-                return thrown
-            if not piece:
+                return discarded
+            if not count:
                 break
-            thrown += piece
-        return thrown
+            discarded += count
+        return discarded
 
     async def _wait(self, ready: Callable[[socket.socket], Awaitable[None]]) -> bool:
         self._awaited = True
@@ -117,17 +119,17 @@
 
     @property
     def sock(self) -> socket.socket:
-        """The socket, to be waited for."""
+        """The socket, for a task that waits for it."""
         self._awaited = True
         return self._sock
 
     @property
     def descriptor(self) -> int:
-        """The socket's number, to be watched."""
+        """The socket's file descriptor, for a poller."""
         return self._sock.fileno()
 
     def has_ended(self) -> bool:
-        """Whether the other side has ended or broken it; bytes that wait hide an end behind them."""
+        """Whether the peer has closed or reset it; unread bytes hide a close that follows them."""
         try:
             return not self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -136,7 +138,7 @@
             return True
 
     def is_quiet(self) -> bool:
-        """Whether it is open with nothing to read: neither bytes nor an end."""
+        """Whether it is open with nothing to read: neither data nor an end of the stream."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -146,14 +148,14 @@
         return False
 
     def end_sending(self) -> None:
-        """Tell the other side that no more comes."""
+        """Shut down the sending direction."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
     def close(self) -> None:
-        """Close now; whoever waits on it is woken."""
+        """Close immediately; tasks that wait for the socket are woken."""
         if not self.closed:
             self.closed = True
             if self._awaited:
@@ -162,7 +164,7 @@
 
 
 def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
-    """A listening socket; an OSError tells why there is none."""
+    """Open a listening socket; raises OSError on failure."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -176,11 +178,11 @@
 
 
 OURS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
-"""Errors of a dial that are our own lack, and no word on the other side."""
+"""Errnos of a failed connect that come from local resource limits and say nothing about the peer."""
 
 
 async def dial(address: tuple[str, int], timeout_ms: float) -> Stream | int:
-    """Connect within that time; else the error's number."""
+    """Connect within the time limit; returns the errno on failure."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM)
--- a/flintfield/wire/http1/submission.py
+++ b/flintfield/wire/http1/submission.py
@@ -1,4 +1,4 @@
-"""A caller's request as it was read, and the job that its headers describe: whatever is odd is refused."""
+"""Validates a caller's request and parses the job that its headers describe; malformed ones are rejected."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from flintfield.decision.values import value
 from flintfield.memory.messages import Submission
 
-MOST_BODY = 65_536
-MOST_OWNER = 64  # characters of an owner's name that count
+MAX_BODY = 65_536
+MAX_OWNER_LENGTH = 64  # longer owner names are truncated to this many characters
 UNITS = {"m": 1.0, "u": 0.001}
 NUMBER = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?([eE][+-]?[0-9]{1,2})?")
 ID = re.compile(r"[!-~]{1,128}")
-PASSED_ON = (b"req-", b"idempotency-key")  # how the names of headers begin that tell what the job is
-PASSABLE = re.compile(rb"[ -~\x80-\xff]{0,1024}")  # a header's value that may be passed on as it is
+JOB_HEADER_PREFIXES = (b"req-", b"idempotency-key")  # of the names of headers that describe the job
+FORWARDABLE = re.compile(rb"[ -~\x80-\xff]{0,1024}")  # a header value that may be forwarded unchanged
 KEY = re.compile(r"[0-9a-fA-F]{1,16}")
 
 
 class BadRequest(Exception):
-    """A request that is answered with an error at once."""
+    """A request that is answered immediately with an HTTP error status."""
 
-    def __init__(self, status: int, word: str) -> None:
-        super().__init__(word)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 @value
 class Request:
-    """A whole request as it was read."""
+    """A complete HTTP request."""
 
     method: bytes
     target: bytes
@@ -40,27 +40,27 @@
 
 
 def check_head(head: h11.Request) -> None:
-    """Refuse what h11 lets pass, before a byte of the body is read."""
+    """Reject unsafe heads that h11 accepts, before any of the body is read."""
     names = [name for name, _ in head.headers]
-    sized = b"content-length" in names
-    # Guards against a request hidden in another's body: who goes by the other length sees it.
-    if b"transfer-encoding" in names and (sized or head.http_version < b"1.1"):
+    has_length = b"content-length" in names
+    # Prevents request smuggling: a peer that goes by the other length sees a request within the body.
+    if b"transfer-encoding" in names and (has_length or head.http_version < b"1.1"):
         raise BadRequest(400, "Content-Length and Transfer-Encoding: the body's end is in doubt")
-    # Guards against a job that we and the next hop read differently, by the first value or by the last.
-    if doubled := next((n for n in names if n.startswith(PASSED_ON) and names.count(n) > 1), b""):
-        raise BadRequest(400, f"{doubled.decode()}: given twice")
-    if sized and int(dict(head.headers)[b"content-length"]) > MOST_BODY:
+    # With a duplicate, this process and the next hop might differ in using the path_class value or the last.
+    if duplicate := next((n for n in names if n.startswith(JOB_HEADER_PREFIXES) and names.count(n) > 1), b""):
+        raise BadRequest(400, f"{duplicate.decode()}: given twice")
+    if has_length and int(dict(head.headers)[b"content-length"]) > MAX_BODY:
         raise BadRequest(413, "the body is longer than 64 KiB")
 
 
 def read_submission(request: Request, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Submission:
-    """Read a job's request; what is missing or wrong is a `BadRequest`. Classes and tenants have their places
-    in the settings."""
+    """Parse a job's request; raises `BadRequest` if something is missing or invalid. `classes` and `tenants`
+    map names to indexes in the settings."""
     headers = request.headers
-    first = request.target.split(b"?", 1)[0].strip(b"/").split(b"/", 1)[0].decode("ascii", "replace")
+    path_class = request.target.split(b"?", 1)[0].strip(b"/").split(b"/", 1)[0].decode("ascii", "replace")
     class_name = _text(headers, b"req-kind")
-    if first != class_name or class_name not in classes or request.method != b"POST":
-        _refuse_class(request.method, first, class_name, classes)
+    if path_class != class_name or class_name not in classes or request.method != b"POST":
+        _refuse_class(request.method, path_class, class_name, classes)
     name = _text(headers, b"req-id")
     if not ID.fullmatch(name):
         raise BadRequest(400, "Req-Id: missing, too long or not plain text")
@@ -74,23 +74,23 @@
         slots=extras.get("slots") or extras.get("needs") or 1.0,
         memory=extras.get("memory") or extras.get("mem_needed") or 0.0,
         repeat=headers.get(b"req-retry") == b"1",
-        owner=owner[:MOST_OWNER],
+        owner=owner[:MAX_OWNER_LENGTH],
         tenant=tenants.get(owner, -1),
-        idempotency_key=_passed_on(headers, b"idempotency-key"),
+        idempotency_key=_forwarded_value(headers, b"idempotency-key"),
     )
 
 
-def _passed_on(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
+def _forwarded_value(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
     text = headers.get(name, b"")
-    # Guards against a line end that would begin another header: not all that is read here came over HTTP.
-    if not PASSABLE.fullmatch(text):
+    # Prevents header injection through a line break: not every request parsed here came over HTTP.
+    if not FORWARDABLE.fullmatch(text):
         raise BadRequest(400, f"{name.decode()}: too long or not plain text")
     return text
 
 
-def _refuse_class(method: bytes, first: str, class_name: str, classes: Mapping[str, int]) -> NoReturn:
-    """Say what is wrong with a request that is no job of a class."""
-    if first not in classes and class_name not in classes and class_name in ("", first):
+def _refuse_class(method: bytes, path_class: str, class_name: str, classes: Mapping[str, int]) -> NoReturn:
+    """Raise the `BadRequest` for a request that isn't a valid job submission."""
+    if path_class not in classes and class_name not in classes and class_name in ("", path_class):
         if class_name:
             raise BadRequest(400, "Req-Kind: unknown class")
         raise BadRequest(404, "no such path")
@@ -106,7 +106,7 @@
 
 
 def _float(text: str, name: str) -> float:
-    # Guards against what Python takes for a number and nobody else does: signs, nan, inf, 1_0.
+    # Excludes forms that Python's float() accepts but other parsers may not: signs, nan, inf, 1_0.
     if not NUMBER.fullmatch(text):
         raise BadRequest(400, f"{name}: not a number")
     return float(text)
--- a/flintfield/wire/simulator/__init__.py
+++ b/flintfield/wire/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's binary wire."""
+"""The simulator's binary wire protocol."""
--- a/flintfield/wire/simulator/frames.py
+++ b/flintfield/wire/simulator/frames.py
@@ -1,6 +1,6 @@
-"""The simulator's binary wire: frames to events, actions to frames, settings to `Settings`.
+"""Codec of the simulator's binary protocol: decodes events and settings, encodes actions.
 
-Nothing is decided here. A frame that cannot be read raises `WireError` with one plain line.
+It makes no decisions. A frame that can't be decoded raises `WireError` with a one-line message.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 U8, U16, U32 = struct.Struct("<B"), struct.Struct("<H"), struct.Struct("<I")
 
 START, REGISTRY, ACCEPT, STREAMING, ENDED, ABANDONED = 0, 1, 2, 3, 4, 5
-ELAPSED, PROBE_RESULT, PEER_DATA, STOP, SHEET, NOTICE, ABOUT = 6, 7, 8, 9, 10, 11, 12
+ELAPSED, PROBE_RESULT, PEER_DATA, STOP, SERVER_LIST, NOTICE, INSTANCE = 6, 7, 8, 9, 10, 11, 12
 
 LAYOUT = {
     REGISTRY: struct.Struct("<BQI"),
@@ -34,7 +34,7 @@
     ELAPSED: U32,
     PROBE_RESULT: struct.Struct("<6sHdB"),
     NOTICE: struct.Struct("<IB6sBf"),
-    ABOUT: U16,
+    INSTANCE: U16,
 }
 OUTCOMES = {
     200: Outcome.OK, 502: Outcome.ERROR, 429: Outcome.FULL, 408: Outcome.TIMEOUT,
@@ -45,12 +45,12 @@
 
 
 class WireError(Exception):
-    """The input does not follow the wire."""
+    """The input violates the wire protocol."""
 
 
 @dataclass(frozen=True, slots=True)
-class Enlist:
-    """An instance is born: its seed, its settings and how to read its load reports."""
+class StartInstance:
+    """Start an instance, with its seed, its settings and the field names of its load reports."""
 
     seed: int
     settings: Settings
@@ -58,13 +58,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """An instance died; all it knew is to be forgotten."""
+class StopInstance:
+    """Stop an instance and discard its state."""
 
 
 @dataclass(frozen=True, slots=True)
-class Panic:
-    """The decision code failed; the text goes out as the wire's fault action."""
+class Fault:
+    """The decision code raised an exception; the text is sent as the protocol's fault action."""
 
     text: str
 
@@ -73,11 +73,11 @@
 
 
 def read_settings(text: bytes) -> tuple[Settings, tuple[str | None, ...]]:
-    """Translate the settings text of the first message."""
+    """Parse the JSON settings of the first message; returns them and the report's field names."""
     try:
         return base.read_settings(json.loads(text))
     except (ValueError, base.ConfigError) as error:
-        raise WireError(f"settings cannot be read: {error}") from error
+        raise WireError(f"invalid settings: {error}") from error
 
 
 # -------------------------------------------------------------------- events
@@ -88,10 +88,10 @@
 
 
 def read_rows(body: bytes) -> tuple[int, tuple[Entry, ...]]:
-    """Read a numbered sheet of the server list."""
+    """Decode a numbered server list."""
     number, count = U32.unpack_from(body, 0)[0], U32.unpack_from(body, 4)[0]
     if len(body) != 8 + count * ROW.size:
-        raise WireError(f"a list of {count} rows holds {len(body) - 8} bytes")
+        raise WireError(f"server list of {count} rows has {len(body) - 8} bytes")
     rows = []
     for cell, kind, state, zone, started, raw, weight in ROW.iter_unpack(body[8:]):
         if state not in STATES:
@@ -100,8 +100,8 @@
     return number, tuple(rows)
 
 
-def _report(body: bytes, at: int, fields: tuple[str | None, ...]) -> Report | None:
-    values = struct.unpack_from(f"<{body[at]}f", body, at + 1)
+def _report(body: bytes, offset: int, fields: tuple[str | None, ...]) -> Report | None:
+    values = struct.unpack_from(f"<{body[offset]}f", body, offset + 1)
     known = {name: value for name, value in zip(fields, values, strict=False) if name}
     return Report(**known) if values else None
 
@@ -113,26 +113,26 @@
 
 
 def read_event(
-    code: int, body: bytes, sheets: Mapping[int, tuple[Entry, ...]], fields: tuple[str | None, ...]
-) -> Event | Enlist | Stop | None:
-    """Read one record that is meant for an instance; None for what no decision reads."""
+    code: int, body: bytes, server_lists: Mapping[int, tuple[Entry, ...]], fields: tuple[str | None, ...]
+) -> Event | StartInstance | StopInstance | None:
+    """Decode one record for an instance; None for a record type that the decision code doesn't use."""
     try:
-        return _read_event(code, body, sheets, fields)
+        return _read_event(code, body, server_lists, fields)
     except (struct.error, IndexError) as error:
-        raise WireError(f"record {code} of {len(body)} bytes cannot be read: {error}") from error
+        raise WireError(f"can't decode record {code} of {len(body)} bytes: {error}") from error
 
 
 def _read_event(
-    code: int, body: bytes, sheets: Mapping[int, tuple[Entry, ...]], fields: tuple[str | None, ...]
-) -> Event | Enlist | Stop | None:
+    code: int, body: bytes, server_lists: Mapping[int, tuple[Entry, ...]], fields: tuple[str | None, ...]
+) -> Event | StartInstance | StopInstance | None:
     if code == START:
         seed, size = struct.unpack_from("<QI", body, 0)
         if len(body) < 12 + size:
-            raise WireError("settings are cut short")
+            raise WireError("settings are truncated")
         settings, names = read_settings(body[12:12 + size])
-        return Enlist(seed, settings, names)
+        return StartInstance(seed, settings, names)
     if code == STOP:
-        return Stop()
+        return StopInstance()
     if code == PEER_DATA:
         return None
     if code not in LAYOUT:
@@ -144,9 +144,9 @@
         mode = MODES[v[0]]
         if mode is ListMode.FAILED:
             return ServerList(mode)
-        if v[2] not in sheets:
-            raise WireError(f"list {v[2]} was never sent")
-        return ServerList(mode, sheets[v[2]])
+        if v[2] not in server_lists:
+            raise WireError(f"server list {v[2]} was never sent")
+        return ServerList(mode, server_lists[v[2]])
     if code == ACCEPT:
         rid, cls, tenant, key, deadline, hint, slots, memory, flags = v
         return Request(rid, cls, deadline, tenant, key, hint if flags & 1 else None, slots or 1.0, memory,
@@ -166,19 +166,19 @@
 
 
 def split_records(body: bytes, count: int) -> Iterator[tuple[int, bytes]]:
-    """Cut a batch into its records."""
-    at = 0
+    """Split a batch into its records."""
+    offset = 0
     for _ in range(count):
-        if at + RECORD_HEAD.size > len(body):
+        if offset + RECORD_HEAD.size > len(body):
             raise WireError("a batch ends inside a record")
-        code, size = RECORD_HEAD.unpack_from(body, at)
-        at += RECORD_HEAD.size
-        if at + size > len(body):
+        code, size = RECORD_HEAD.unpack_from(body, offset)
+        offset += RECORD_HEAD.size
+        if offset + size > len(body):
             raise WireError(f"record {code} is longer than its batch")
-        yield code, body[at:at + size]
-        at += size
-    if at != len(body):
-        raise WireError(f"{len(body) - at} bytes follow the last record")
+        yield code, body[offset:offset + size]
+        offset += size
+    if offset != len(body):
+        raise WireError(f"{len(body) - offset} bytes follow the last record")
 
 
 # ------------------------------------------------------------------- actions
@@ -188,8 +188,8 @@
     return RECORD_HEAD.pack(code, len(body)) + body
 
 
-def write_action(action: Action | Panic) -> bytes:
-    """Write one action as a record."""
+def write_action(action: Action | Fault) -> bytes:
+    """Encode one action as a record."""
     match action:
         case Send(rid, worker, timeout_ms):
             return _record(0, struct.pack("<I6sd", rid, worker.to_bytes(6, "little"), timeout_ms))
@@ -205,18 +205,18 @@
             return _record(5, worker.to_bytes(6, "little"))
         case Watch():
             return _record(10, U8.pack(1))
-        case Panic(text):
+        case Fault(text):
             data = text.encode()[:60_000]
             return _record(9, U16.pack(len(data)) + data)
-    raise WireError(f"no record for {action!r}")
+    raise WireError(f"no record type for {action!r}")
 
 
-def write_reply(groups: Iterable[tuple[int, list[Action | Panic]]]) -> bytes:
-    """Write a reply: for each instance that acts, its name and then its actions."""
+def write_reply(groups: Iterable[tuple[int, list[Action | Fault]]]) -> bytes:
+    """Encode a reply: for each instance with actions, its number followed by its actions."""
     records: list[bytes] = []
     for instance, actions in groups:
         if actions:
-            records.append(_record(ABOUT, U16.pack(instance)))
+            records.append(_record(INSTANCE, U16.pack(instance)))
             records.extend(write_action(a) for a in actions)
     body = b"".join(records)
-    return REPLY_HEAD.pack(U32.size + len(body), len(records)) + body  # the length counts the count field
+    return REPLY_HEAD.pack(U32.size + len(body), len(records)) + body  # the length includes the count field
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec: worked frames, round trips, malformed input."""
+"""The simulator protocol's codec: example frames, round trips, malformed input."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from flintfield.decision.policy import Dispatcher
 
 FIELDS = ("util", "latency_ms", "free")
-RAW = {
+RAW_SETTINGS = {
     "request_classes": [
         {"aim_ms": 400, "hard_limit_ms": 5000, "effect": "guarded", "group": "cell", "window_ms": 7500,
          "worth": 2, "surprise": 1},
@@ -29,14 +29,14 @@
 }
 
 
-def test_a_worked_request_is_read() -> None:
+def test_example_request_is_decoded() -> None:
     body = bytes.fromhex("c4913a5d 00 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 00000040"
                          "00000000 01")
     event = wire.read_event(wire.ACCEPT, body, {}, FIELDS)
     assert event == Request(0x5D3A91C4, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 0.0, False)
 
 
-def test_a_worked_outcome_is_read_with_its_report() -> None:
+def test_example_outcome_is_decoded_with_its_report() -> None:
     body = bytes.fromhex("c4913a5d 00 01 00 c800 0000000000803240 0a124a07 5b1b 03"
                          "52b81e3f 00006841 cdcccc3e")
     event = wire.read_event(wire.ENDED, body, {}, FIELDS)
@@ -50,7 +50,7 @@
     assert event.report.latency_ms == 14.5
 
 
-def test_a_worked_list_is_read() -> None:
+def test_example_list_is_decoded() -> None:
     sheet = bytes.fromhex("00000000 02000000 0000 00 01 0000 0000000000000000 0a124a07 5b1b 0000803f"
                           "0000 00 02 0000 0000000000d4b740 0a9011f2 841b 0000c03f")
     number, rows = wire.read_rows(sheet)
@@ -62,7 +62,7 @@
         (State.READY, 0.0, 1.0), (State.DRAINING, 6100.0, 1.5)]
 
 
-def test_notes_and_timers_are_read() -> None:
+def test_notes_and_timers_are_decoded() -> None:
     note = bytes.fromhex("c4913a5d 00 0a124a07 5b1b 02 0000003f")
     event = wire.read_event(wire.NOTICE, note, {}, ())
     assert isinstance(event, Note)
@@ -70,7 +70,7 @@
     assert wire.read_event(wire.ELAPSED, bytes.fromhex("4d000000"), {}, ()) == Timer(77)
 
 
-def test_worked_actions_are_written() -> None:
+def test_example_actions_are_encoded() -> None:
     worker = int.from_bytes(bytes.fromhex("0a124a075b1b"), "little")
     other = int.from_bytes(bytes.fromhex("0a9011f2841b"), "little")
     frames: dict[Action, str] = {
@@ -87,14 +87,14 @@
 
 
 @given(st.integers(0, 2**32 - 1), st.integers(0, 2**48 - 1), st.floats(0, 1e6))
-def test_a_send_comes_back_as_it_went(rid: int, worker: int, timeout: float) -> None:
+def test_send_round_trip(rid: int, worker: int, timeout: float) -> None:
     ((code, body),) = wire.split_records(wire.write_action(Send(rid, worker, timeout)), 1)
-    got, raw, ms = struct.unpack("<I6sd", body)
-    assert (code, got, wire.worker_id(raw), ms) == (0, rid, worker, timeout)
+    decoded_rid, raw, decoded_timeout = struct.unpack("<I6sd", body)
+    assert (code, decoded_rid, wire.worker_id(raw), decoded_timeout) == (0, rid, worker, timeout)
 
 
-def test_settings_are_translated_and_unknown_keys_skipped() -> None:
-    settings, fields = wire.read_settings(json.dumps(RAW).encode())
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
+    settings, fields = wire.read_settings(json.dumps(RAW_SETTINGS).encode())
     (cls,) = settings.classes
     assert (cls.effect, cls.group, cls.kind) == (Effect.KEYED, Group.CELL, None)
     assert (cls.stretch, cls.worth) == (1.75, 2)
@@ -111,45 +111,46 @@
     return wire.RECORD_HEAD.pack(code, len(body)) + body
 
 
-def born(instance: int = 3) -> list[bytes]:
-    text = json.dumps(RAW).encode()
-    return [record(wire.ABOUT, wire.U16.pack(instance)), record(0, struct.pack("<QI", 7, len(text)) + text)]
+def start_records(instance: int = 3) -> list[bytes]:
+    text = json.dumps(RAW_SETTINGS).encode()
+    return [record(wire.INSTANCE, wire.U16.pack(instance)),
+            record(0, struct.pack("<QI", 7, len(text)) + text)]
 
 
-def play(data: bytes) -> bytes:
+def run_adapter(data: bytes) -> bytes:
     sink = io.BytesIO()
     drill.serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
-def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert play(batch()) == bytes.fromhex("0400000000000000")
+def test_empty_batch_gets_an_empty_reply() -> None:
+    assert run_adapter(batch()) == bytes.fromhex("0400000000000000")
 
 
-def test_an_instance_acts_once_it_has_its_list() -> None:
-    sheet = record(wire.SHEET, struct.pack("<II", 0, 0))
-    reply = play(batch(sheet, *born(), record(wire.REGISTRY, struct.pack("<BQI", 2, 1, 0))))
+def test_instance_acts_once_it_has_its_server_list() -> None:
+    sheet = record(wire.SERVER_LIST, struct.pack("<II", 0, 0))
+    reply = run_adapter(batch(sheet, *start_records(), record(wire.REGISTRY, struct.pack("<BQI", 2, 1, 0))))
     codes = [code for code, _ in wire.split_records(reply[8:], struct.unpack_from("<I", reply, 4)[0])]
-    assert codes[0] == wire.ABOUT
+    assert codes[0] == wire.INSTANCE
     assert 10 in codes and 4 in codes
 
 
 @pytest.mark.parametrize("data", [
-    b"\0" * 5, batch()[:-1], batch(record(99, b"")), batch(record(wire.ABOUT, b"\1")),
-    batch(*born(), record(99, b"")), batch(*born(), record(wire.ENDED, b"\0" * 5)),
-    batch(*born(), record(wire.REGISTRY, struct.pack("<BQI", 2, 1, 5))),
-    batch(record(wire.ABOUT, wire.U16.pack(1)), record(wire.ELAPSED, wire.U32.pack(0))),
+    b"\0" * 5, batch()[:-1], batch(record(99, b"")), batch(record(wire.INSTANCE, b"\1")),
+    batch(*start_records(), record(99, b"")), batch(*start_records(), record(wire.ENDED, b"\0" * 5)),
+    batch(*start_records(), record(wire.REGISTRY, struct.pack("<BQI", 2, 1, 5))),
+    batch(record(wire.INSTANCE, wire.U16.pack(1)), record(wire.ELAPSED, wire.U32.pack(0))),
 ])
-def test_malformed_input_is_told_in_one_line(data: bytes) -> None:
+def test_malformed_input_is_reported_in_one_line(data: bytes) -> None:
     with pytest.raises(wire.WireError) as caught:
-        play(data)
+        run_adapter(data)
     assert "\n" not in str(caught.value)
 
 
-def test_an_exception_in_the_decisions_becomes_the_fault_action(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decision_code_becomes_the_fault_action(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("on purpose")
 
     monkeypatch.setattr(Dispatcher, "handle", broken)
-    reply = play(batch(*born(), record(wire.ELAPSED, wire.U32.pack(0))))
+    reply = run_adapter(batch(*start_records(), record(wire.ELAPSED, wire.U32.pack(0))))
     assert b"RuntimeError: on purpose" in reply
