--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""The parties round the real program, played by short scripts on loopback sockets."""
+"""Test doubles for the program's peers, on loopback sockets, and a harness that runs the real program."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 ROOT = Path(__file__).parent.parent
 PROGRAM = ("-m", "flintfield")
-SOON = 10.0  # nothing here takes that long unless it is broken
+SOON = 10.0  # timeout of the tests in seconds; nothing takes that long unless it fails
 CLASSES = [
     {"name": "match-list", "aim_ms": 4000, "hard_limit_ms": 8000, "worth": 1, "effect": "free"},
     {"name": "social-booking", "aim_ms": 4000, "hard_limit_ms": 20000, "worth": 10, "effect": "single_shot"},
@@ -36,12 +36,12 @@
 
 
 class Peer(BaseHTTPRequestHandler):
-    """What next hops and discovery have in common."""
+    """HTTP handler that next hops and discovery share."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *_: object) -> None:
-        """Say nothing."""
+        """Suppress the request log."""
 
     def reply(self, status: int, body: bytes = b"", **headers: str) -> None:
         self.send_response(status)
@@ -68,11 +68,11 @@
         self.server_close()
 
     def handle_error(self, *_: object) -> None:
-        """A connection that the program broke is a test's own business."""
+        """Ignore errors of connections that the program broke; tests check for them where needed."""
 
 
 class Job:
-    """A request that reached a next hop; the test says what becomes of it."""
+    """A job request that reached a next hop; the test controls its answer."""
 
     def __init__(self, peer: Peer, body: bytes) -> None:
         self.peer, self.body, self.target = peer, body, peer.path
@@ -82,7 +82,7 @@
         self.began = False
 
     def say(self, state: str, **more: Any) -> None:
-        """Write one line of the job; a final one ends the answer."""
+        """Write one line about the job; a final state also ends the response."""
         self.line(json.dumps({"id": self.name, "from": "s", "state": state, **more}))
         if state in ("done", "failed", "returned", "lost"):
             self.peer.wfile.write(b"0\r\n\r\n")
@@ -101,7 +101,7 @@
         self.over.set()
 
     def cut(self) -> None:
-        """Break the connection."""
+        """Shut down the connection."""
         self.peer.connection.shutdown(socket.SHUT_RDWR)
         self.peer.close_connection = True
         self.over.set()
@@ -111,7 +111,7 @@
         self.cut()
 
     def dropped(self) -> bool:
-        """Wait until the scheduler closes the connection."""
+        """Wait until the scheduler closes the connection; returns whether it did without sending data."""
         self.peer.connection.settimeout(SOON)
         try:
             return not self.peer.connection.recv(1)
@@ -120,7 +120,7 @@
 
 
 class Hop:
-    """A next hop; its jobs wait in a queue for the test."""
+    """A next hop; its jobs are queued for the test."""
 
     def __init__(self, name: str = "s-1") -> None:
         hop = self
@@ -129,9 +129,9 @@
         self.load = b"TEXT lat_ms=5, rif=0, q=0, x0=4"
         self.probe_ports: queue.Queue[int] = queue.Queue()
         self.cut_probes = False
-        self.heads: queue.Queue[str] = queue.Queue()  # what to do with the next heads in place of a 100
-        self.seen: set[str] = set()  # the ids of all heads that came
-        # Of a head that is to "wait": its connection; its 100 may go out; it is out.
+        self.heads: queue.Queue[str] = queue.Queue()  # for the next heads: what to do instead of a 100
+        self.seen: set[str] = set()  # the ids of all request heads received
+        # For a head with "wait": its connection; set by the test to release the 100; set once it is sent.
         self.asked: queue.Queue[socket.socket] = queue.Queue()
         self.go_on, self.went_on = threading.Event(), threading.Event()
 
@@ -144,22 +144,22 @@
 
             def handle_expect_100(self) -> bool:
                 hop.seen.add(self.headers["Req-Id"])
-                how = "100" if hop.heads.empty() else hop.heads.get()
-                if how == "wait":
+                mode = "100" if hop.heads.empty() else hop.heads.get()
+                if mode == "wait":
                     hop.asked.put(self.connection)
                     hop.go_on.wait(SOON)
                     super().handle_expect_100()
                     hop.went_on.set()
                     return True
-                if how == "100":
+                if mode == "100":
                     return super().handle_expect_100()
-                if how == "no word":
+                if mode == "no word":
                     return True
-                if how == "silence":
+                if mode == "silence":
                     self.connection.settimeout(SOON)
                     self.connection.recv(1)
-                elif how.isdecimal():
-                    self.reply(int(how))
+                elif mode.isdecimal():
+                    self.reply(int(mode))
                 self.close_connection = True
                 return False
 
@@ -170,7 +170,7 @@
 
             def do_POST(self) -> None:
                 size = int(self.headers["Content-Length"])
-                if len(body := self.rfile.read(size)) < size:  # a request begins with its last byte
+                if len(body := self.rfile.read(size)) < size:  # a job starts once its request is complete
                     self.close_connection = True
                     return
                 job = Job(self, body)
@@ -188,16 +188,16 @@
 
 
 class Directory:
-    """Discovery: a version, the changes of each, and watches that wait for the next."""
+    """Discovery: a list version, the latest changes, and watches that wait for the next version."""
 
     def __init__(self) -> None:
         directory = self
         self.calls: queue.Queue[tuple[float, str]] = queue.Queue()
         self.changed, self.version, self.news = threading.Condition(), 1, list[dict[str, Any]]()
-        self.whole: list[dict[str, Any]] = []  # what a call without an index is told
-        self.broken: list[bytes] = []  # answers to give in place of news
-        self.silent = 0  # so many of the next calls are never answered
-        self.indent: int | None = None  # of the lists' text
+        self.whole: list[dict[str, Any]] = []  # the list returned to a call without an index
+        self.broken: list[bytes] = []  # answers to send instead of changes; empty for a 503
+        self.silent = 0  # number of next calls to leave unanswered
+        self.indent: int | None = None  # indentation of the JSON lists
 
         class Handler(Peer):
             def do_GET(self) -> None:
@@ -214,28 +214,28 @@
                     if watch:
                         since, wait = int(index.split("&")[0]), int(index.partition("wait=")[2] or 0) / 1000
                         directory.changed.wait_for(lambda: directory.version > since, wait)
-                    told = directory.news if watch else directory.whole
-                    news = {"generation": directory.version, "reset": not watch, "instances": told}
+                    listed = directory.news if watch else directory.whole
+                    news = {"generation": directory.version, "reset": not watch, "instances": listed}
                 self.reply(200, json.dumps(news, indent=directory.indent).encode())
                 self.wfile.flush()
 
         self.server = Server(Handler)
 
     def publish(self, *entries: dict[str, Any]) -> None:
-        """Change the list; those that watch are told."""
+        """Change the list and answer the pending watches."""
         with self.changed:
             self.version, self.news = self.version + 1, list(entries)
             self.changed.notify_all()
 
     def tell(self, *entries: dict[str, Any]) -> None:
-        """Publish a change and wait until the scheduler, having read it, watches for the next."""
+        """Publish a change and wait until the scheduler has read it and watches for the next one."""
         self.publish(*entries)
         while f"index={self.version}&" not in self.calls.get(timeout=SOON)[1]:
             pass
 
 
 class Scheduler:
-    """The real program as a process."""
+    """The real program, running as a process."""
 
     def __init__(self, folder: Path, hops: list[Hop], settings: dict[str, Any], sockets: int,
                  descriptors: int = 0, ini: str = "", listen: str = "127.0.0.1:0", name: str = "n1",
@@ -254,7 +254,7 @@
         assert self.process.stdout
         self.ports = json.loads(self.process.stdout.readline())
         self.port = self.ports["port"]
-        if not prepare:  # it has its first answer, which it waits for, and watches for more
+        if not prepare:  # wait until the program has its first answer and watches for changes
             assert until(lambda: self.directory.calls.qsize() > 1)
             self.directory.calls.get()
 
@@ -263,7 +263,7 @@
 
     def submit(self, cls: str = "match-list", name: str = "", wait: str = "8000m", body: bytes = b"job",
                on: HTTPConnection | None = None, cost: str = "900", owner: str = "") -> HTTPConnection:
-        """Send a job's request; `getresponse()` of what is returned waits for the answer."""
+        """Send a job request; `getresponse()` on the returned connection waits for the answer."""
         connection = on or self.connect()
         given = {"Req-Id": name or os.urandom(8).hex(), "Req-Kind": cls, "Req-Deadline": wait}
         given |= {"Req-Cost": cost} | ({"Req-Owner": owner} if owner else {})
@@ -280,7 +280,7 @@
         return counters
 
     def reload(self, text: str = "", **changes: Any) -> None:
-        """Replace the configuration, by that text or with those changes, and say so."""
+        """Replace the configuration by `text`, or by the old one with `changes`, and send SIGHUP."""
         (self.folder / "new").write_text(text or json.dumps(self.config | changes))
         (self.folder / "new").rename(self.folder / "config.json")
         self.process.send_signal(signal.SIGHUP)
@@ -289,16 +289,16 @@
         self.process.send_signal(signal.SIGTERM)
 
     def stopped(self) -> tuple[int, list[dict[str, Any]]]:
-        """Wait for the end: the exit code and the log lines since the start."""
+        """Wait for the process to exit; returns its exit code and the log lines not yet read."""
         out, _ = self.process.communicate(timeout=SOON)
         return self.process.returncode, [json.loads(line) for line in out.splitlines()]
 
 
 def start(folder: Path, config: dict[str, Any], descriptors: int = 0, ini: str = "",
           program: Sequence[str] = PROGRAM, accepts: int | None = None) -> subprocess.Popen[str]:
-    """Start the program with that configuration, that operators' file and no more descriptors than that.
+    """Start the program with a configuration, an operators' INI file and a limit on descriptors (0: none).
 
-    `accepts` is a listening socket's descriptor, which it inherits.
+    `accepts` is the descriptor of a listening socket that the program inherits.
     """
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
@@ -306,8 +306,8 @@
     path = folder / "config.json"
     path.write_text(json.dumps(config))
     (folder / "flintfield.ini").write_text(ini)
-    named = ["--ini", str(folder / "flintfield.ini")] if ini else []
-    return subprocess.Popen([sys.executable, *program, *named], cwd=ROOT, text=True,
+    ini_arguments = ["--ini", str(folder / "flintfield.ini")] if ini else []
+    return subprocess.Popen([sys.executable, *program, *ini_arguments], cwd=ROOT, text=True,
                             stdout=subprocess.PIPE, stderr=subprocess.PIPE,
                             env={**os.environ, "LB_CONFIG": str(path), "PYTHONPATH": str(ROOT),
                                  **({} if accepts is None else {"LB_ACCEPT_FD": str(accepts)})},
@@ -316,7 +316,7 @@
 
 
 def until(true: Any, seconds: float = SOON) -> bool:
-    """Wait for something to come true."""
+    """Poll a condition until it is true or the time is over; returns the last result."""
     ends = time.monotonic() + seconds
     while not true() and time.monotonic() < ends:
         time.sleep(0.01)
@@ -328,5 +328,5 @@
 
 
 def ended(response: HTTPResponse) -> tuple[int, bytes]:
-    """A whole answer."""
+    """Read the complete response; returns its status and body."""
     return response.status, response.read()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""What crosses on a socket in one instant: the program is stopped, all is laid ready, and it goes on."""
+"""Races between events on sockets, reproduced by stopping the program while the events are prepared."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from peers import SETTINGS, SOON, Hop, Scheduler, Start, ended, until
 from support.inside import Log, played
 
-RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: a close resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which close sends a reset
 
 
 def request(body: bytes = b"", name: str = "", cls: str = "match-list", wait: str = "8000m") -> bytes:
@@ -38,7 +38,7 @@
 
 @contextmanager
 def frozen(scheduler: Scheduler) -> Iterator[None]:
-    """The program stands still: what is done meanwhile it finds all at once."""
+    """Stop the program; it sees everything done in the block at once when it continues."""
     pid = scheduler.process.pid
     scheduler.process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, pid, os.WSTOPPED | os.WNOWAIT)
@@ -66,17 +66,17 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-def close_behind_more(sock: socket.socket) -> None:
+def send_more_and_close(sock: socket.socket) -> None:
     sock.sendall(b"POST /match-list HTTP/1.1\r\nReq-Id: ")
     sock.close()
 
 
-LEAVES = pytest.mark.parametrize("leave", [close, reset, half_close, close_behind_more])
+LEAVES = pytest.mark.parametrize("leave", [close, reset, half_close, send_more_and_close])
 
 
 @LEAVES
 @pytest.mark.parametrize("body", [b"", b"job"])
-def test_no_attempt_begins_for_a_caller_that_has_left(
+def test_no_attempt_starts_for_a_disconnected_caller(
     begin: Start, leave: Callable[[socket.socket], None], body: bytes
 ) -> None:
     hop = Hop()
@@ -85,13 +85,13 @@
     with frozen(scheduler):
         caller.sendall(request(body))
         leave(caller)
-    told = "requests.bad.400" if leave is close_behind_more else "requests.left.match-list"
-    assert until(lambda: scheduler.counters().get(told))
+    counter = "requests.bad.400" if leave is send_more_and_close else "requests.left.match-list"
+    assert until(lambda: scheduler.counters().get(counter))
     assert not scheduler.counters().get("branches.whole") and hop.jobs.empty() and not hop.seen
 
 
 @LEAVES
-def test_no_further_attempt_begins_for_a_caller_that_has_left(
+def test_no_retry_starts_for_a_disconnected_caller(
     begin: Start, leave: Callable[[socket.socket], None]
 ) -> None:
     hops = Hop("s-1"), Hop("s-2")
@@ -108,10 +108,11 @@
     assert scheduler.counters()["branches.opened"] == 2 and other.jobs.empty() and not other.seen
 
 
-def test_a_body_is_not_sent_for_a_caller_that_left_after_the_head(begin: Start) -> None:
+def test_body_is_not_sent_if_the_caller_disconnected_after_the_head(begin: Start) -> None:
     hop = Hop()
     scheduler = begin(hop)
-    for went in range(20):  # until it is stopped before it sends the body unasked, which it does after 0.1 s
+    # Without a 100 Continue the program sends the body after 0.1 s: retry until it is stopped before that.
+    for attempt in range(20):
         hop.heads.put("wait")
         hop.go_on.clear()
         hop.went_on.clear()
@@ -123,14 +124,14 @@
             caller.close()
             hop.go_on.set()
             assert hop.went_on.wait(SOON)
-        assert until(lambda n=went: scheduler.counters().get("requests.left.match-list") == n + 1)
+        assert until(lambda n=attempt: scheduler.counters().get("requests.left.match-list") == n + 1)
         if caught:
             break
-    assert caught and scheduler.counters().get("branches.whole", 0) == went
-    assert hop.jobs.qsize() == went
+    assert caught and scheduler.counters().get("branches.whole", 0) == attempt
+    assert hop.jobs.qsize() == attempt
 
 
-def test_others_are_served_after_a_caller_that_left(begin: Start) -> None:
+def test_next_caller_is_served_after_a_disconnect(begin: Start) -> None:
     hop = Hop()
     scheduler = begin(hop)
     caller = dial(scheduler)
@@ -142,16 +143,16 @@
     assert ended(sent.getresponse()) == (200, b"list")
 
 
-def took_to_stop(scheduler: Scheduler) -> float:
-    """By its own log: how long the end of a process takes on a busy machine is no matter here."""
+def shutdown_seconds(scheduler: Scheduler) -> float:
+    """Shutdown time in seconds by the program's own log, without the time the process needs to exit."""
     code, lines = scheduler.stopped()
     at = {line["event"]: datetime.fromisoformat(line["timestamp"]) for line in lines}
     assert code == 0
     return (at["stopped"] - at["stopping"]).total_seconds()
 
 
-def ends_of(sock: socket.socket) -> bytes:
-    """All that comes until the other side ends; a reset is an error."""
+def read_to_end(sock: socket.socket) -> bytes:
+    """Read until the peer closes the connection; a reset raises an exception."""
     sock.settimeout(SOON)
     text = b""
     while piece := sock.recv(65_536):
@@ -160,19 +161,22 @@
 
 
 @pytest.mark.parametrize("served", [False, True])
-def test_a_request_that_crosses_an_idle_connections_end_is_not_reset(tmp_path: Path, served: bool) -> None:
-    """In one loop with the program: what is sent as its end comes is sent before it goes on."""
+def test_request_in_flight_as_its_idle_connection_closes_gets_no_reset(tmp_path: Path, served: bool) -> None:
+    """Runs in the program's event loop, so that the request is sent before the program continues.
+
+    Guards against a close that resets a connection on which a request is in flight.
+    """
     config = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     (path := tmp_path / "config.json").write_text(json.dumps(config))
-    sock, came = socket.socket(), list[bytes]()
+    sock, received = socket.socket(), list[bytes]()
 
     async def cross() -> None:
         await anyio.wait_readable(sock)
-        came.append(sock.recv(1))
+        received.append(sock.recv(1))
         sock.send(request())
         sock.send(b"P")  # fails after a reset
         await anyio.wait_readable(sock)
-        came.append(sock.recv(1))
+        received.append(sock.recv(1))
 
     async def main() -> None:
         async def play(ports: dict[str, int]) -> None:
@@ -189,8 +193,8 @@
     log = Log()
     with sock:
         anyio.run(main, backend_options=LOOP)
-    assert came == [b"", b""]
-    counters = next(told["counters"] for event, told in log.lines if event == "stopped")
+    assert received == [b"", b""]
+    counters = next(fields["counters"] for event, fields in log.lines if event == "stopped")
     assert not counters.get("requests.taken.match-list")
 
 
@@ -199,26 +203,26 @@
     return sock.recv(65_536)
 
 
-def test_who_says_nothing_in_time_meets_a_clean_end(begin: Start) -> None:
+def test_silent_connection_is_closed_without_a_reset(begin: Start) -> None:
     scheduler = begin(Hop())
     caller = dial(scheduler)
     caller.settimeout(SOON)
     assert caller.recv(1, socket.MSG_PEEK) == b""
     caller.sendall(request())
     caller.sendall(b"P")
-    assert ends_of(caller) == b"" and scheduler.hops[0].jobs.empty()
+    assert read_to_end(caller) == b"" and scheduler.hops[0].jobs.empty()
     assert not scheduler.counters().get("requests.taken.match-list")
 
 
-def test_who_never_closes_does_not_hold_the_end_up(begin: Start) -> None:
+def test_open_idle_connections_do_not_delay_shutdown(begin: Start) -> None:
     scheduler = begin(Hop())
     callers = [dial(scheduler) for _ in range(3)]
     for caller in callers:
         caller.sendall(b"GET /ready HTTP/1.1\r\nHost: f\r\n\r\n")
         assert b"200" in caller.recv(65_536)
     scheduler.ask_to_stop()
-    assert took_to_stop(scheduler) < 3.7  # the kill comes no sooner
-    assert all(ends_of(caller) == b"" for caller in callers)
+    assert shutdown_seconds(scheduler) < 3.7  # less than the time before a SIGKILL
+    assert all(read_to_end(caller) == b"" for caller in callers)
 
 
 STOPS = pytest.mark.parametrize("signals", [(signal.SIGTERM,) * 2, (signal.SIGTERM, signal.SIGINT),
@@ -226,14 +230,14 @@
 
 
 @STOPS
-def test_who_is_told_to_end_more_than_once_settles_all_and_ends_in_order(
+def test_repeated_stop_signals_still_finish_jobs_and_exit_cleanly(
     begin: Start, signals: tuple[signal.Signals, ...]
 ) -> None:
     hop = Hop()
     scheduler = begin(hop)
     sent = scheduler.submit("social-booking")
     job = hop.job()
-    with frozen(scheduler):  # it finds all of them at once
+    with frozen(scheduler):  # so that all signals are pending at once
         for number in signals:
             scheduler.process.send_signal(number)
     job.say("done", result="seat")
@@ -242,30 +246,31 @@
     assert scheduler.stopped()[0] == 0
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_told_to_end_with_discovery_down_it_settles_all(begin: Start, told: bool) -> None:
-    """Also one that has just started and heard nothing yet: what it holds is given up with an answer."""
+@pytest.mark.parametrize("has_list", [True, False])
+def test_shutdown_with_discovery_down_answers_every_request(begin: Start, has_list: bool) -> None:
+    """Also just after the start, before discovery has answered: waiting requests get a 503."""
     hop = Hop()
-    scheduler = begin(hop) if told else begin(hop, prepare=lambda directory: directory.server.stop())
+    scheduler = begin(hop) if has_list else begin(hop, prepare=lambda directory: directory.server.stop())
     sent = scheduler.submit(wait="20000m")
-    job = hop.job() if told else None
-    if told:
+    job = hop.job() if has_list else None
+    if has_list:
         scheduler.directory.server.stop()
     scheduler.ask_to_stop()
     if job:
         job.say("done", result="list")
     response = sent.getresponse()
-    assert (response.status, bool(response.headers["Retry-After"])) == ((200, False) if told else (503, True))
+    assert (response.status, bool(response.headers["Retry-After"])) == (
+        (200, False) if has_list else (503, True))
     sent.close()
-    assert took_to_stop(scheduler) < 3.7
+    assert shutdown_seconds(scheduler) < 3.7
 
 
-def test_a_further_attempt_is_told_what_is_left_to_the_client(begin: Start) -> None:
+def test_retry_gets_the_clients_remaining_time(begin: Start) -> None:
     hops = Hop("s-1"), Hop("s-2")
     scheduler = begin(*hops)
     sent = scheduler.submit(wait="6000m")
     assert until(lambda: not all(h.jobs.empty() for h in hops))
-    began = time.monotonic()  # later than when the scheduler took it
+    began = time.monotonic()  # later than the scheduler's accept
     first, other = hops if not hops[0].jobs.empty() else hops[::-1]
     job = first.job()
     assert until(lambda: time.monotonic() > began + 0.4)
@@ -278,11 +283,11 @@
     assert ended(sent.getresponse()) == (200, b"list")
 
 
-def test_callers_that_fill_the_descriptors_keep_neither_discovery_nor_jobs_out(begin: Start) -> None:
+def test_callers_using_up_descriptors_block_neither_discovery_nor_jobs(begin: Start) -> None:
     drained, other = Hop("s-1"), Hop("s-2")
     scheduler = begin(drained, other, sockets=96, descriptors=96)
-    scheduler.directory.broken = [b""] * 3  # it is busy meanwhile
-    scheduler.directory.publish()  # ends the watch that hangs
+    scheduler.directory.broken = [b""] * 3  # discovery answers 503 to the next calls
+    scheduler.directory.publish()  # ends the pending watch
     idle = [dial(scheduler) for _ in range(120)]
     assert until(lambda: not scheduler.directory.broken)
     scheduler.directory.publish(drained.entry(lifecycle="terminating"))
@@ -297,8 +302,8 @@
         sock.close()
 
 
-def test_a_half_line_in_the_instant_of_the_end_harms_nobody(begin: Start) -> None:
-    """A worker node writes on as its client leaves, and as the next one asks."""
+def test_partial_line_during_a_disconnect_does_not_affect_the_next_job(begin: Start) -> None:
+    """A worker node writes part of a line while its caller disconnects and the next caller sends a job."""
     hop = Hop()
     scheduler = begin(hop)
     caller = dial(scheduler)
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,4 +1,4 @@
-"""What other customers' settings ask for: keys by which repeats are known, tenants, windows of their own."""
+"""Less common settings: idempotency keys, tenants and their allowances."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 2])
-def test_the_key_of_a_repeat_is_passed_on_with_each_attempt(begin: Start, pieces: int) -> None:
+def test_idempotency_key_is_forwarded_with_each_attempt(begin: Start, pieces: int) -> None:
     hops = Hop("s-1"), Hop("s-2")
     scheduler = begin(*hops, request_classes=KEYED)
     head = (b"POST /match-list HTTP/1.1\r\nHost: f\r\nReq-Id: 1f\r\nReq-Kind: match-list\r\n"
@@ -37,7 +37,7 @@
         assert b"200" in caller.makefile("rb").readline()
 
 
-def test_a_job_without_a_key_has_none_made_up(begin: Start) -> None:
+def test_no_idempotency_key_is_invented(begin: Start) -> None:
     hop = Hop()
     sent = begin(hop, request_classes=KEYED).submit()
     job = hop.job()
@@ -46,34 +46,34 @@
     assert ended(sent.getresponse()) == (200, b"list")
 
 
-def test_a_line_end_in_a_key_does_not_begin_another_header() -> None:
+def test_line_break_in_a_key_cannot_inject_a_header() -> None:
     headers = HEADERS | {b"idempotency-key": b"1\r\nReq-Id: 2"}
     with pytest.raises(BadRequest):
         read_submission(Request(b"POST", b"/match-list", headers, b""), {"match-list": 0}, {})
 
 
 @pytest.mark.parametrize(("owner", "tenant"), [(b"north", 0), (b"south", 1), (b"east", -1), (b"", -1)])
-def test_the_module_is_told_whose_job_it_is(owner: bytes, tenant: int) -> None:
+def test_decision_module_gets_the_tenant_of_a_job(owner: bytes, tenant: int) -> None:
     memory = Memory(parties=[{"name": name, "allowance_per_s": 1} for name in ("north", "south")])
-    told: list[Event] = []
+    events: list[Event] = []
 
     def tap(_: float, event: Event, __: object) -> None:
-        told.append(event)
+        events.append(event)
 
     memory.state.tap = tap
     given = read_submission(Request(b"POST", b"/match-list", HEADERS | {b"req-owner": owner}, b""),
                             {"match-list": 0}, {"north": 0, "south": 1})
     memory.take(Submitted(1, given))
-    assert [e.tenant for e in told if isinstance(e, Asked)] == [tenant]
+    assert [e.tenant for e in events if isinstance(e, Asked)] == [tenant]
 
 
-def test_a_tenant_beyond_its_share_does_not_use_up_anothers(begin: Start) -> None:
-    """By the real program: its settings name the tenants, the header whose job it is."""
+def test_tenant_over_its_allowance_does_not_delay_another_tenant(begin: Start) -> None:
+    """Runs the real program: its settings name the tenants, and the Req-Owner header names a job's tenant."""
     hop = Hop()
     hop.load = b"TEXT lat_ms=5, rif=1, q=0, x0=1"
     parties = [{"name": "north", "allowance_per_s": 0.01}, {"name": "south", "allowance_per_s": 100}]
     scheduler = begin(hop, parties=parties, over_share_worth=0.1)
-    sent = [scheduler.submit(owner="north", cost="4000000") for _ in range(20)]  # far beyond what it may
+    sent = [scheduler.submit(owner="north", cost="4000000") for _ in range(20)]  # far beyond its allowance
     running = hop.job()
     last = scheduler.submit(owner="south", name="south", cost="4000000")
     scheduler.counters()
--- a/tests/test_path_bench.py
+++ b/tests/test_path_bench.py
@@ -1,4 +1,4 @@
-"""The suites of the request path and of memory: their parties really talk, and every figure comes out."""
+"""The benchmark suites of the request path and of memory: they run end to end and report every figure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from benchmarks.suite import Options
 
 
-def test_the_path_is_measured_beside_its_yardsticks() -> None:
+def test_request_path_is_measured_beside_its_baseline() -> None:
     options = Options(rounds=1, scale=0.05, only=("path.program", "path.aiohttp"))
     results = {r.name: r for r in path.run(options)}
     for name in ("program", "aiohttp"):
@@ -20,7 +20,7 @@
         assert 0 <= results[f"path.program.latency.p50.{connections}"].value < 5e6
 
 
-def test_memory_is_told_for_each_leg_and_transaction() -> None:
+def test_memory_is_reported_per_connection_and_transaction() -> None:
     only = ("memory.rest", "memory.leg", "memory.transaction.out")
     results = {r.name: r.value for r in memory.run(Options(rounds=1, scale=0.05, only=only))}
     assert results.keys() == set(only)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Peers that write in pieces, or leave, at every byte of a request and of an answer."""
+"""Requests and answers split, or truncated by a disconnect, at many byte offsets."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
 
-def talk(scheduler: Scheduler) -> socket.socket:
+def connect(scheduler: Scheduler) -> socket.socket:
     return socket.create_connection(("127.0.0.1", scheduler.port), timeout=SOON)
 
 
-def test_a_request_is_read_whole_wherever_it_is_cut(begin: Start) -> None:
+def test_request_is_parsed_wherever_it_is_split(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     serve(hop)
-    sock = talk(scheduler)  # one connection for all: what is left of one would spoil the next
+    sock = connect(scheduler)  # a shared connection: leftover bytes of one request would break the next
     reader = sock.makefile("rb")
-    for at in range(1, len(REQUEST % b"a00")):
-        text = REQUEST % (b"a%02x" % at)
-        sock.sendall(text[:at])
+    for offset in range(1, len(REQUEST % b"a00")):
+        text = REQUEST % (b"a%02x" % offset)
+        sock.sendall(text[:offset])
         time.sleep(0.001)
-        sock.sendall(text[at:])
+        sock.sendall(text[offset:])
         assert reader.readline().startswith(b"HTTP/1.1 200")
         assert reader.readline() == b"Content-Length: 4\r\n"
         assert reader.read(6) == b"\r\nseat"
 
 
-def test_a_caller_that_leaves_within_its_request_costs_nothing(begin: Start) -> None:
+def test_disconnect_within_a_request_has_no_effect(begin: Start) -> None:
     scheduler = begin(hop := Hop())
-    for at in range(0, len(REQUEST) - 1, 7):
-        with talk(scheduler) as sock:
-            sock.sendall((REQUEST % b"left")[:at])
+    for offset in range(0, len(REQUEST) - 1, 7):
+        with connect(scheduler) as sock:
+            sock.sendall((REQUEST % b"left")[:offset])
     serve(hop)
     assert ended(scheduler.submit().getresponse()) == (200, b"seat")
     counters = scheduler.counters()
@@ -54,22 +54,22 @@
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_an_answer_is_read_wherever_it_is_cut_or_ends(begin: Start, leaves: bool) -> None:
+def test_answer_is_parsed_wherever_it_is_split_or_ends(begin: Start, leaves: bool) -> None:
     scheduler = begin(hop := Hop())
     connection = scheduler.connect()
     whole = len(answer("0000"))
-    for at in range(1, whole, 11 if leaves else 3):
-        scheduler.submit("social-booking", f"{at:04x}", on=connection)
+    for offset in range(1, whole, 11 if leaves else 3):
+        scheduler.submit("social-booking", f"{offset:04x}", on=connection)
         job = hop.job()
         text = answer(job.name)
-        job.peer.wfile.write(text[:at])
+        job.peer.wfile.write(text[:offset])
         time.sleep(0.001)
         if leaves:
             job.cut()
         else:
-            job.peer.wfile.write(text[at:])
+            job.peer.wfile.write(text[offset:])
             job.over.set()
         status, body = ended(connection.getresponse())
-        done = text.index(b"seat") + len(b'seat"}\n\r\n') <= at  # its last line is whole
+        done = text.index(b"seat") + len(b'seat"}\n\r\n') <= offset  # its last line was sent completely
         assert (status, body) == ((200, b"seat") if done or not leaves else (500, b"failed\n"))
     assert "defects" not in scheduler.counters()
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""Connections that are woken without tasks: each in its turn, and none by what is meant for another."""
+"""The poller: fairness between callers, isolation of exceptions, stale events and timeouts."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class End:
-    """One end of a pair of sockets, with something to read; it notes when it is woken."""
+    """One end of a socket pair, watched by the poller; logs each call of `ready`."""
 
     urgent = False
 
     def __init__(self, poller: Poller, log: list[str], name: str, caller: str | None = None,
-                 does: Callable[[], None] = lambda: None) -> None:
+                 action: Callable[[], None] = lambda: None) -> None:
         self.sock, self.other = socket.socketpair()
-        self.poller, self.log, self.name, self.caller, self.does = poller, log, name, caller, does
+        self.poller, self.log, self.name, self.caller, self.action = poller, log, name, caller, action
         poller.watch(self.sock.fileno(), self)
 
     def say(self) -> None:
@@ -32,7 +32,7 @@
     def ready(self) -> None:
         self.log.append(self.name)
         self.sock.recv(1)
-        self.does()
+        self.action()
 
     def broke(self, error: Exception) -> None:
         self.log.append(f"{self.name} broke")
@@ -43,34 +43,34 @@
         self.sock.close()
 
 
-def fail_as(broken: str, name: str) -> None:
+def fail_if_named(broken: str, name: str) -> None:
     if name == broken:
         raise ValueError("on purpose")
 
 
-async def turns(number: int = 3) -> None:
+async def run_turns(number: int = 3) -> None:
     for _ in range(number):
         await anyio.sleep(0)
 
 
-def test_an_exception_stops_at_its_connection() -> None:
+def test_exception_affects_only_its_connection() -> None:
     async def play() -> None:
         log: list[str] = []
         poller = Poller()
-        ends = [End(poller, log, name, does=partial(fail_as, "b", name)) for name in "abc"]
+        ends = [End(poller, log, name, action=partial(fail_if_named, "b", name)) for name in "abc"]
         for end in ends:
             end.say()
-        await turns()
+        await run_turns()
         assert sorted(log) == ["a", "b", "b broke", "c"]
         ends[0].say()
-        await turns()
+        await run_turns()
         assert log[-1] == "a"
         poller.close()
 
     anyio.run(play, backend_options=LOOP)
 
 
-def test_one_caller_with_many_connections_holds_up_nobody() -> None:
+def test_one_caller_with_many_connections_does_not_delay_others() -> None:
     async def play() -> None:
         log: list[str] = []
         poller = Poller(turn=4)
@@ -78,9 +78,9 @@
         ends = [End(poller, log, name, name) for name in ("quiet", "other")]
         for end in (*flood, *ends):
             end.say()
-        hop = End(poller, log, "hop")  # what works for no caller of its own goes first
+        hop = End(poller, log, "hop")  # objects without a caller go first
         hop.say()
-        await turns(30)
+        await run_turns(30)
         assert len(log) == 43 and log[0] == "hop"
         assert log.index("quiet") < 5 and log.index("other") < 5
         assert [n for n in log if n.startswith("flood")] == [f"flood {n}" for n in range(40)]
@@ -88,21 +88,21 @@
         flood[39].urgent = True
         for end in flood:
             end.say()
-        await turns(30)
+        await run_turns(30)
         assert log[0] == "flood 39" and len(log) == 40
         poller.close()
 
     anyio.run(play, backend_options=LOOP)
 
 
-def test_callers_that_all_flood_are_served_alike() -> None:
+def test_callers_with_many_connections_get_equal_turns() -> None:
     async def play() -> None:
         log: list[str] = []
         poller = Poller(turn=3)
         for caller in "abcd":
             for _ in range(10):
                 End(poller, log, caller, caller).say()
-        await turns(30)
+        await run_turns(30)
         assert len(log) == 40
         for end in range(4, 41):
             counts = [log[:end].count(c) for c in "abcd"]
@@ -112,32 +112,32 @@
     anyio.run(play, backend_options=LOOP)
 
 
-def test_what_was_told_of_a_closed_connection_wakes_nobody_with_its_number() -> None:
+def test_stale_event_of_a_closed_descriptor_does_not_reach_its_successor() -> None:
     async def play() -> None:
         log: list[str] = []
         poller = Poller()
-        made: list[End] = []
+        replacements: list[End] = []
 
         def replace() -> None:
             number = second.sock.fileno()
             second.close()
-            made.append(End(poller, log, "new"))
-            assert made[0].sock.fileno() == number
+            replacements.append(End(poller, log, "new"))
+            assert replacements[0].sock.fileno() == number
 
-        End(poller, log, "first", does=replace).say()
+        End(poller, log, "first", action=replace).say()
         second = End(poller, log, "second")
         second.say()
-        await turns()
+        await run_turns()
         assert log == ["first"]
-        made[0].say()
-        await turns()
+        replacements[0].say()
+        await run_turns()
         assert log == ["first", "new"]
         poller.close()
 
     anyio.run(play, backend_options=LOOP)
 
 
-def test_those_who_wait_equally_long_are_over_in_order_and_those_removed_are_not() -> None:
+def test_timeouts_expire_in_order_and_removed_ones_do_not() -> None:
     async def play() -> None:
         log: list[str] = []
         poller = Poller()
@@ -151,7 +151,7 @@
         for name in "abcd":
             waits.add(ends[name])
         waits.remove(ends["b"])
-        waits.add(ends["a"])  # anew: it stands last
+        waits.add(ends["a"])  # restarted: it moves to the end
         await anyio.sleep(0.05)
         assert log == ["c over", "c broke", "d over", "a over"]
         waits.add(ends["e"])
@@ -162,8 +162,8 @@
     anyio.run(play, backend_options=LOOP)
 
 
-def test_the_program_waits_in_one_set_of_sockets(begin: Start) -> None:
-    """Guards against a set within a set: where system calls are led elsewhere nobody wakes for it."""
+def test_program_uses_a_single_epoll_set(begin: Start) -> None:
+    """Guards against nested epoll sets: platforms that redirect system calls don't report their events."""
     scheduler = begin(hop := Hop())
     caller = scheduler.submit("match-list", "aa11")
     hop.job()
@@ -171,12 +171,12 @@
     sets = [p.name for p in (folder / "fd").iterdir() if p.readlink().name.endswith("[eventpoll]")]
     watched = {line.split()[1] for name in sets
                for line in (folder / "fdinfo" / name).read_text().splitlines() if line.startswith("tfd:")}
-    assert len(sets) == 1 and len(watched) >= 4  # the loop's own, the listener, the caller, the branch
+    assert len(sets) == 1 and len(watched) >= 4  # the event loop's, the listener, the caller, the branch
     assert not watched & set(sets)
     caller.close()
 
 
-def test_a_poller_on_another_event_loop_says_so() -> None:
+def test_poller_rejects_another_event_loop() -> None:
     async def play() -> None:
         with pytest.raises(TypeError, match="needs a Loop"):
             Poller()
--- a/tests/test_spares.py
+++ b/tests/test_spares.py
@@ -1,4 +1,4 @@
-"""Connections to next hops that jobs use one after the other, and what comes of it when one is of no use."""
+"""Reuse of idle connections to next hops, and recovery when a reused one fails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def serve(scheduler: Scheduler, hop: Hop, cls: str = "match-list") -> int:
-    """One job from end to end; the port it came from."""
+    """Run one job from end to end; returns the source port of its connection."""
     caller = scheduler.submit(cls)
     job = hop.job()
     job.say("done", result="ok")
@@ -18,7 +18,7 @@
     return job.port
 
 
-def test_a_job_that_may_run_again_uses_the_connection_of_the_one_before(begin: Start) -> None:
+def test_repeatable_job_reuses_the_previous_jobs_connection(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     ports = [serve(scheduler, hop) for _ in range(3)]
     assert len(set(ports)) == 1
@@ -30,7 +30,7 @@
     assert "defects" not in counters
 
 
-def test_a_spare_that_the_next_hop_ends_is_left_at_once(begin: Start) -> None:
+def test_idle_connection_closed_by_the_next_hop_is_not_reused(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     caller = scheduler.submit()
     job = hop.job()
@@ -44,27 +44,27 @@
     assert counters.get("branches.reused", 0) == 0 and "branches.ended.unsent" not in counters
 
 
-def test_a_spare_is_left_before_the_next_hop_ends_it(begin: Start) -> None:
+def test_idle_connection_is_closed_before_the_next_hops_timeout(begin: Start) -> None:
     scheduler = begin(hop := Hop(), limits={**SETTINGS["limits"], "conn_idle_ms": 300})
     first = serve(scheduler, hop)
     time.sleep(0.35)
     assert serve(scheduler, hop) != first
 
 
-@pytest.mark.parametrize("how", ["cut", "silence"])
-def test_a_job_on_a_spare_of_no_use_runs_once_all_the_same(begin: Start, how: str) -> None:
+@pytest.mark.parametrize("failure", ["cut", "silence"])
+def test_job_on_a_failed_reused_connection_runs_exactly_once(begin: Start, failure: str) -> None:
     scheduler = begin(hop := Hop())
     serve(scheduler, hop)
-    hop.heads.put(how)
+    hop.heads.put(failure)
     began = time.monotonic()
     serve(scheduler, hop)
     assert time.monotonic() - began < 1 and hop.jobs.empty()
     counters = scheduler.counters()
-    assert counters.get("branches.dialled_anew", 0) == (how == "cut")
-    assert counters.get("branches.ended.unsent", 0) == (how == "silence")
+    assert counters.get("branches.dialled_anew", 0) == (failure == "cut")
+    assert counters.get("branches.ended.unsent", 0) == (failure == "silence")
 
 
-def test_a_caller_that_leaves_ends_its_job_on_a_spare(begin: Start) -> None:
+def test_disconnected_caller_ends_its_job_on_a_reused_connection(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     serve(scheduler, hop)
     caller = scheduler.submit()
@@ -76,7 +76,7 @@
     serve(scheduler, hop)
 
 
-def test_a_job_without_a_body_takes_no_spare(begin: Start) -> None:
+def test_job_without_body_uses_a_new_connection(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     first = serve(scheduler, hop)
     caller = scheduler.submit(body=b"")
