--- a/flintfield/jobs/admission.py
+++ b/flintfield/jobs/admission.py
@@ -7,7 +7,7 @@
 from flintfield.jobs.state import DispatcherState
 
 
-def refusal(state: DispatcherState, terms: Terms, kept_bytes: int) -> str:
+def refusal_reason(state: DispatcherState, terms: Terms, kept_bytes: int) -> str:
     """Why a new job of these terms, which may take so many bytes in the store, is refused; or ""."""
     bounds = state.bounds
     if len(state.jobs) >= bounds.max_jobs:
--- a/flintfield/jobs/body.py
+++ b/flintfield/jobs/body.py
@@ -129,7 +129,7 @@
         raise MalformedJob(f"`{name}` must be from 0 to {most}")
 
 
-def chain_left(steps: tuple[StepSpec, ...]) -> list[int]:
+def longest_chain_ms(steps: tuple[StepSpec, ...]) -> list[int]:
     """For each step the estimated ms of the longest chain of steps that begins with it, itself included."""
     left = [step.estimate_ms for step in steps]
     for index in range(len(steps) - 1, -1, -1):
--- a/flintfield/jobs/copies.py
+++ b/flintfield/jobs/copies.py
@@ -8,18 +8,18 @@
 
 from dataclasses import replace
 
-from flintfield.jobs.demands import demand_of, may_hold
+from flintfield.jobs.demands import demand_of, can_place
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.estimates import estimate_ms
 from flintfield.jobs.model import Task
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState, RunState, TaskState
 
-LATE_SHARE = 1.6  # times the expected time
-LEAST_LATE_MS = 600
-NEARLY_DONE = 75  # percent
-PERIOD_MS = 250
-MAX_LOOKED_AT = 256  # tasks a look; the rest wait for the next
+LATE_FACTOR = 1.6  # times the expected time
+MIN_LATE_MS = 600
+NEARLY_DONE_PERCENT = 75  # percent
+CHECK_PERIOD_MS = 250
+MAX_CHECKED_TASKS = 256  # tasks a look; the rest wait for the next
 
 
 class Copies:
@@ -28,32 +28,32 @@
     def __init__(self, state: DispatcherState, ends: Ends) -> None:
         self._state = state
         self._ends = ends
-        self._looked_ms = state.now_ms
+        self._last_check_ms = state.now_ms
 
     def tick(self) -> None:
         """Start copies where they are due."""
         state = self._state
-        if state.now_ms - self._looked_ms < PERIOD_MS:
+        if state.now_ms - self._last_check_ms < CHECK_PERIOD_MS:
             return
-        self._looked_ms = state.now_ms
-        for task in list(state.speculative)[:MAX_LOOKED_AT]:
+        self._last_check_ms = state.now_ms
+        for task in list(state.speculative)[:MAX_CHECKED_TASKS]:
             if task.state is not TaskState.PLACED or task.job.state is not JobState.ACTIVE:
                 state.speculative.pop(task, None)
             elif self._is_late(task):
-                self._copy(task)
+                self._start_copy(task)
 
     def _is_late(self, task: Task) -> bool:
         if len(task.runs) != 1:
             return False
         run = task.runs[0]
-        if run.state is RunState.PLACING or run.percent >= NEARLY_DONE:
+        if run.state is RunState.PLACING or run.percent >= NEARLY_DONE_PERCENT:
             return False
         if len(task.failed) + len(task.runs) >= max(task.job.terms.max_attempts, 1):
             return False
         expected = estimate_ms(run) / self._state.paces.usual(task.job.route)
-        return self._state.now_ms - run.placed_ms > max(LEAST_LATE_MS, LATE_SHARE * expected)
+        return self._state.now_ms - run.placed_ms > max(MIN_LATE_MS, LATE_FACTOR * expected)
 
-    def _copy(self, task: Task) -> None:
+    def _start_copy(self, task: Task) -> None:
         state = self._state
         demand = demand_of(task)
         queue = state.service(demand.service)
@@ -62,7 +62,7 @@
         demand = replace(demand, avoid=demand.avoid | {run.instance for run in task.runs})
         instance = state.placement.choose(demand, state.placeable, state.now_ms)
         worker = queue.workers.get(instance or "")
-        if worker is None or worker.instance in demand.avoid or not may_hold(worker, demand):
+        if worker is None or worker.instance in demand.avoid or not can_place(worker, demand):
             return
         state.counters.copies += 1
         self._ends.runs.place(task, demand, worker, task.last_run + 1, task.checkpoint)
--- a/flintfield/jobs/demands.py
+++ b/flintfield/jobs/demands.py
@@ -5,15 +5,15 @@
 from flintfield.jobs.model import Task
 from flintfield.placement.interface import Demand, Resources, Worker
 
-UNBOUNDED = 1 << 20  # places for tasks that ask for nothing
+UNLIMITED_TASKS = 1 << 20  # places for tasks that ask for nothing
 
 
-def demand_of(task: Task, siblings: frozenset[str] = frozenset(), near_only: bool = False) -> Demand:
+def demand_of(task: Task, siblings: frozenset[str] = frozenset(), data_rack_only: bool = False) -> Demand:
     """The demand of a task; `near_only` asks for the label of the rack where its data lies."""
     step = task.step
     spec = step.spec
     job = step.occurrence.job
-    needs = (*spec.needs, spec.affinity) if near_only else spec.needs
+    needs = (*spec.needs, spec.affinity) if data_rack_only else spec.needs
     return Demand(
         task.name,
         job.terms.service,
@@ -31,7 +31,7 @@
     )
 
 
-def may_hold(worker: Worker, demand: Demand) -> bool:
+def can_place(worker: Worker, demand: Demand) -> bool:
     """Whether the rules allow this task on that worker now: service, labels, anti-affinity, capacity."""
     if not worker.ready or worker.service != demand.service:
         return False
@@ -42,10 +42,10 @@
     return has_room(worker, demand)
 
 
-def places_in(room: Resources, asked: Resources) -> int:
+def tasks_that_fit(room: Resources, asked: Resources) -> int:
     """How many such tasks that room holds (below 0: it is short already)."""
     pairs = ((room.cpu, asked.cpu), (room.memory_mb, asked.memory_mb), (room.gpu, asked.gpu))
-    return min((there // each for there, each in pairs if each), default=UNBOUNDED)
+    return min((there // each for there, each in pairs if each), default=UNLIMITED_TASKS)
 
 
 def has_room(worker: Worker, demand: Demand) -> bool:
--- a/flintfield/jobs/ends.py
+++ b/flintfield/jobs/ends.py
@@ -20,7 +20,7 @@
 from flintfield.placement.interface import Result
 from flintfield.transport.records import encode
 
-QUICK_END_MS = 3_000  # a lasting task that ran for less backs off
+SHORT_RUN_MS = 3_000  # a lasting task that ran for less backs off
 FIRST_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 2_000
 REFUSAL_BACKOFF_MS = 100  # after an order that was not carried out
@@ -41,16 +41,16 @@
         self._readiness = readiness
         self.runs = Runs(state, self.resolve)
 
-    def resolve(self, run: Run, ending: Ending, saved: str) -> None:
+    def resolve(self, run: Run, ending: Ending, checkpoint: str) -> None:
         """The run is over for certain; `saved` is its newest checkpoint or ""."""
         state = self._state
         task = run.task
         state.counters.ends += 1
         state.record(task.job, Happening.RUN_ENDED, run, ending.value)
-        self._tell_placement(run, ending)
-        self._note_times(run, ending)
+        self._report_end_to_placement(run, ending)
+        self._record_times(run, ending)
         self.runs.close(run)
-        self.save(task, saved)
+        self.save_checkpoint(task, checkpoint)
         if ending is Ending.FAILED and run.number not in task.failed:
             task.failed = (*task.failed, run.number)
         if ending in (Ending.FAILED, Ending.VANISHED) or run.suspect:
@@ -65,19 +65,19 @@
             self.finish_job(task.job, JobState.FAILED)
         elif task.step.spec.gang:
             state.write_task(task)
-            self._gang_member_over(run, ending)
+            self._gang_member_ended(run, ending)
         else:
-            self._again(run, ending)
+            self._retry(run, ending)
             state.write_task(task)
 
-    def save(self, task: Task, saved: str) -> None:
+    def save_checkpoint(self, task: Task, checkpoint: str) -> None:
         """A newer checkpoint is known; any member's is good for its gang."""
-        if not saved or not task.step.spec.checkpoints:
+        if not checkpoint or not task.step.spec.checkpoints:
             return
         for each in task.step.tasks if task.step.spec.gang else (task,):
-            each.checkpoint = saved
+            each.checkpoint = checkpoint
 
-    def _tell_placement(self, run: Run, ending: Ending) -> None:
+    def _report_end_to_placement(self, run: Run, ending: Ending) -> None:
         state = self._state
         result = _RESULTS.get(ending, ending.value)
         if run.suspect and ending is not Ending.DONE:
@@ -85,17 +85,17 @@
         ran_ms = float(state.now_ms - run.started_ms) if run.started_ms >= 0 else 0.0
         state.placement.note_end(demand_of(run.task), run.instance, result, ran_ms, state.now_ms)
 
-    def _note_times(self, run: Run, ending: Ending) -> None:
+    def _record_times(self, run: Run, ending: Ending) -> None:
         state, job = self._state, run.task.job
         if run.started_ms < 0 or run.ordered_ms < 0:
             return  # it never ran, or an earlier dispatcher ordered it
         state.timing.note(job, Phase.START, run.started_ms - run.ordered_ms)
         phase = Phase.RUN if ending is Ending.DONE else Phase.RUN_LOST
         state.timing.note(job, phase, state.now_ms - run.started_ms)
-        state.after_write(partial(self._noted, job, state.now_ms))
+        state.after_write(partial(self._record_note_time, job, state.now_ms))
 
-    def _noted(self, job: Job, told_ms: int) -> None:
-        self._state.timing.note(job, Phase.NOTE, self._state.now_ms - told_ms)
+    def _record_note_time(self, job: Job, reported_ms: int) -> None:
+        self._state.timing.note(job, Phase.NOTE, self._state.now_ms - reported_ms)
 
     def _out_of_attempts(self, step: Step, task: Task) -> bool:
         if step.spec.long_running:
@@ -112,12 +112,12 @@
 
     # Once more
 
-    def _again(self, run: Run, ending: Ending) -> None:
+    def _retry(self, run: Run, ending: Ending) -> None:
         task = run.task
         if not task.runs:
             self._readiness.delay(task, self._backoff(run, ending))
 
-    def _gang_member_over(self, run: Run, ending: Ending) -> None:
+    def _gang_member_ended(self, run: Run, ending: Ending) -> None:
         step = run.task.step
         left = step.open_runs()
         for other in left:
@@ -135,31 +135,31 @@
         if not task.step.spec.long_running or ending is Ending.UNSENT:
             return 0
         ran = self._state.now_ms - run.started_ms if run.started_ms >= 0 else 0
-        if ran >= QUICK_END_MS or ending is not Ending.FAILED:
-            task.quick_ends = 0
+        if ran >= SHORT_RUN_MS or ending is not Ending.FAILED:
+            task.consecutive_short_runs = 0
             return 0
-        task.quick_ends += 1
-        if task.quick_ends == 1:
+        task.consecutive_short_runs += 1
+        if task.consecutive_short_runs == 1:
             return 0
-        return min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << min(task.quick_ends - 2, 10))
+        return min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << min(task.consecutive_short_runs - 2, 10))
 
     # Done
 
     def _task_done(self, task: Task) -> None:
         step = task.step
         for each in step.tasks if step.spec.gang else (task,):
-            self._one_done(each)
+            self._mark_done(each)
         others = list(task.runs)
         if others:
             self._state.after_write(partial(self._stop_all, others))
         if step.left == 0:
             self._step_done(step)
 
-    def _one_done(self, task: Task) -> None:
+    def _mark_done(self, task: Task) -> None:
         if task.state is TaskState.DONE:
             return
         if task.state is TaskState.READY:
-            self._readiness.no_longer_ready(task)
+            self._readiness.remove_ready(task)
         task.become_done()
         task.step.left -= 1
         self._readiness.count_backlog(task.step, -1)
--- a/flintfield/jobs/estimates.py
+++ b/flintfield/jobs/estimates.py
@@ -10,8 +10,8 @@
 from flintfield.jobs.model import Run
 
 MEDIAN_STEP = 1.03
-LEAST_PACE, MOST_PACE = 0.01, 100.0
-SLOW_STEP = 1.15  # a worker's own slowness is learned faster, as it has fewer samples
+MIN_PACE, MAX_PACE = 0.01, 100.0
+SLOWNESS_STEP = 1.15  # a worker's own slowness is learned faster, as it has fewer samples
 DEFAULT_ESTIMATE_MS = 1_000
 
 
@@ -27,29 +27,29 @@
 
     def note(self, route: str, pace: float) -> None:
         """A run shows this pace."""
-        pace = min(max(pace, LEAST_PACE), MOST_PACE)
+        pace = min(max(pace, MIN_PACE), MAX_PACE)
         known = self._usual.get(route)
         if known is None:
             self._usual[route] = pace
         else:
-            self._usual[route] = towards(known, pace, MEDIAN_STEP)
+            self._usual[route] = step_towards(known, pace, MEDIAN_STEP)
 
 
-def towards(value: float, sample: float, step: float) -> float:
+def step_towards(value: float, sample: float, step: float) -> float:
     """A running median: one step of this factor towards the sample, never past it."""
     return min(value * step, sample) if sample > value else max(value / step, sample)
 
 
 def estimate_ms(run: Run) -> float:
     """The client's guess for the whole task; longer where the run is away from its data or its step."""
-    return (run.task.step.spec.estimate_ms or DEFAULT_ESTIMATE_MS) * run.far
+    return (run.task.step.spec.estimate_ms or DEFAULT_ESTIMATE_MS) * run.duration_factor
 
 
 def pace_of(run: Run, now_ms: int) -> float | None:
     """The run's own pace, or None while it has shown too little."""
     gained = run.percent - run.first_percent
-    took_ms = now_ms - run.seen_ms
-    if run.seen_ms < 0 or gained < 2 or took_ms < 200:
+    took_ms = now_ms - run.first_seen_ms
+    if run.first_seen_ms < 0 or gained < 2 or took_ms < 200:
         return None
     return gained / 100 * estimate_ms(run) / took_ms
 
--- a/flintfield/jobs/gangs.py
+++ b/flintfield/jobs/gangs.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from flintfield.jobs.demands import demand_of, has_room, may_hold
+from flintfield.jobs.demands import demand_of, has_room, can_place
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.estimates import left_ms
 from flintfield.jobs.model import Run, Step
@@ -22,11 +22,11 @@
 RESERVE_ALL_AFTER_MS = 4_000  # from then on it may have more than its share, for a short time
 RESERVATION_MS = 2_500  # a task that waits for 3 s beside idle workers counts as lost
 LONGEST_RESERVATION_MS = 8_000  # within its share: the rest of the service goes on
-REST_MS = 3_000  # between two reservations of one service
+RESERVATION_PAUSE_MS = 3_000  # between two reservations of one service
 RESERVED_SHARE = 0.5  # of a service's workers
 RETRY_MS = 300
 NEVER_MS = 1e9
-MANY = 1 << 20  # members that ask for nothing
+UNLIMITED_MEMBERS = 1 << 20  # members that ask for nothing
 
 
 class Gangs:
@@ -54,13 +54,13 @@
         return len(step.tasks)
 
     def _choose(self, queue: ServiceQueue, demands: list[Demand]) -> list[Worker] | None:
-        if not any(may_hold(worker, demands[0]) for worker in queue.workers.values()):
+        if not any(can_place(worker, demands[0]) for worker in queue.workers.values()):
             return None
         names = self._state.placement.choose_gang(demands, self._state.placeable, self._state.now_ms)
         if names is None:
             return None
         chosen = [queue.workers[name] for name in names if name in queue.workers]
-        if not _may_hold_all(demands, chosen):
+        if not _can_place_all(demands, chosen):
             self._state.counters.bad_placements += 1
             return None
         return chosen
@@ -69,7 +69,7 @@
         """Workers with room for all members, trusted ones first, whatever the policy thinks of them."""
         demand, now = demands[0], self._state.now_ms  # all members ask for the same
         avoid = frozenset().union(*(each.avoid for each in demands))
-        able = [worker for worker in queue.workers.values() if may_hold(worker, demand)]
+        able = [worker for worker in queue.workers.values() if can_place(worker, demand)]
         able.sort(
             key=lambda worker: (
                 worker.instance in avoid,
@@ -79,25 +79,25 @@
         chosen: list[Worker] = []
         for worker in able:
             free = worker.capacity.minus(worker.used)
-            places = _members(free, demand, worker.held.get(demand.group, 0))
+            places = _members_that_fit(free, demand, worker.held.get(demand.group, 0))
             chosen += [worker] * min(places, len(demands) - len(chosen))
-        return chosen if len(chosen) == len(demands) and _may_hold_all(demands, chosen) else None
+        return chosen if len(chosen) == len(demands) and _can_place_all(demands, chosen) else None
 
     def _place_all(self, step: Step, demands: list[Demand], chosen: list[Worker]) -> None:
         number = max(task.last_run for task in step.tasks) + 1
         checkpoint = step.tasks[0].checkpoint
         apart = step.spec.same_rack and len({worker.rack for worker in chosen}) > 1
         for task, demand, worker in zip(step.tasks, demands, chosen, strict=True):
-            self._readiness.no_longer_ready(task)
+            self._readiness.remove_ready(task)
             run = self._ends.runs.place(task, demand, worker, number, checkpoint)
             if apart:
-                run.far = self._state.bounds.far_x
+                run.duration_factor = self._state.bounds.far_x
 
     # Reservations
 
-    def withhold(self, queue: ServiceQueue, step: Step) -> None:
+    def hide_reserved(self, queue: ServiceQueue, step: Step) -> None:
         """Hide reserved workers from a step that ranks behind their holder, until `give_back`."""
-        if not queue.reserved or queue.withheld:
+        if not queue.reserved or queue.hidden_workers:
             return
         if self._state.now_ms >= queue.reserved_until_ms:
             queue.reserved.clear()
@@ -106,46 +106,52 @@
         if step is holder or step.rank < holder.rank:
             return
         workers = [queue.workers[name] for name in queue.reserved if name in queue.workers]
-        queue.withheld = [worker for worker in workers if worker.ready]
-        for worker in queue.withheld:
+        queue.hidden_workers = [worker for worker in workers if worker.ready]
+        for worker in queue.hidden_workers:
             worker.ready = False
 
-    def give_back(self, queue: ServiceQueue) -> None:
+    def unhide_reserved(self, queue: ServiceQueue) -> None:
         """The pass is over."""
-        for worker in queue.withheld:
+        for worker in queue.hidden_workers:
             worker.ready = True
-        queue.withheld = []
+        queue.hidden_workers = []
 
     def reserve(self, queue: ServiceQueue, step: Step) -> None:
         """Keep workers for a step that has waited, be it a gang or a task larger than what becomes free."""
         now = self._state.now_ms
         waited = now - step.ready_since_ms
-        if queue.reserved or waited < RESERVE_AFTER_MS or now < queue.reserved_until_ms + REST_MS:
+        if (
+            queue.reserved
+            or waited < RESERVE_AFTER_MS
+            or now < queue.reserved_until_ms + RESERVATION_PAUSE_MS
+        ):
             return
-        if now < queue.reserve_tried_ms + RETRY_MS:
+        if now < queue.last_reserve_attempt_ms + RETRY_MS:
             return
-        queue.reserve_tried_ms = now
+        queue.last_reserve_attempt_ms = now
         most = len(queue.workers) if waited >= RESERVE_ALL_AFTER_MS else len(queue.workers) * RESERVED_SHARE
-        wanted, free_in_ms = self._enough_workers(queue, step, max(most, 1))
+        wanted, free_in_ms = self._soonest_free_workers(queue, step, max(most, 1))
         if wanted:
             queue.reserved = {worker.instance: step for worker in wanted}
             few = len(wanted) <= len(queue.workers) * RESERVED_SHARE
             longest = LONGEST_RESERVATION_MS if few else RESERVATION_MS
             queue.reserved_until_ms = now + int(min(max(RESERVATION_MS, free_in_ms * 1.5), longest))
 
-    def _enough_workers(self, queue: ServiceQueue, step: Step, most: float) -> tuple[list[Worker], float]:
+    def _soonest_free_workers(
+        self, queue: ServiceQueue, step: Step, most: float
+    ) -> tuple[list[Worker], float]:
         """The workers that are free soonest for the whole step, and in how many ms; none if too many."""
         demand = demand_of(next(iter(step.ready.values())))
         able = [
             (self._free_in_ms(worker, demand), worker.instance, worker)
             for worker in queue.workers.values()
-            if _could_hold(worker, demand)
+            if _could_place_when_empty(worker, demand)
         ]
         taken: list[Worker] = []
         members = len(step.tasks) if step.spec.gang else 1
         for free_in_ms, _, worker in sorted(able, key=lambda each: each[:2]):
             taken.append(worker)
-            members -= _members(worker.capacity, demand)
+            members -= _members_that_fit(worker.capacity, demand)
             if len(taken) > most:
                 break
             if members <= 0:
@@ -177,7 +183,7 @@
             queue.reserved_until_ms = self._state.now_ms
 
 
-def _could_hold(worker: Worker, demand: Demand) -> bool:
+def _could_place_when_empty(worker: Worker, demand: Demand) -> bool:
     return (
         worker.ready
         and worker.service == demand.service
@@ -186,21 +192,21 @@
     )
 
 
-def _members(room: Resources, demand: Demand, held: int = 0) -> int:
+def _members_that_fit(room: Resources, demand: Demand, held: int = 0) -> int:
     """How many members that room holds, on a worker that holds so many tasks of the step already."""
     asked = demand.resources
     pairs = ((room.cpu, asked.cpu), (room.memory_mb, asked.memory_mb), (room.gpu, asked.gpu))
-    fits = min((there // each for there, each in pairs if each), default=MANY)
+    fits = min((there // each for there, each in pairs if each), default=UNLIMITED_MEMBERS)
     return min(fits, demand.at_most - held) if demand.at_most else fits
 
 
-def _may_hold_all(demands: list[Demand], chosen: list[Worker]) -> bool:
+def _can_place_all(demands: list[Demand], chosen: list[Worker]) -> bool:
     """Whether the rules allow all members on these workers together."""
     if len(chosen) != len(demands):
         return False
     added: dict[str, int] = {}
     for demand, worker in zip(demands, chosen, strict=True):
-        if not may_hold(worker, demand):
+        if not can_place(worker, demand):
             return False
         added[worker.instance] = added.get(worker.instance, 0) + 1
     demand = demands[0]  # all members ask for the same
--- a/flintfield/jobs/intake.py
+++ b/flintfield/jobs/intake.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from flintfield.jobs import durable
-from flintfield.jobs.admission import refusal
+from flintfield.jobs.admission import refusal_reason
 from flintfield.jobs.body import MalformedJob, read_job
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.events import Answer, CallArrived, Configuration, Route
@@ -28,13 +28,13 @@
 
 _ID = re.compile(r"[0-9a-fA-F]{16}")
 
-_WORDS = {
+_STATE_BODIES = {
     JobState.ACTIVE: b'{"state":"queued"}',
     JobState.COMPLETED: b'{"state":"completed"}',
     JobState.FAILED: b'{"state":"failed"}',
     JobState.CANCELLED: b'{"state":"cancelled"}',
 }
-_RUNNING = b'{"state":"running"}'
+_RUNNING_BODY = b'{"state":"running"}'
 
 
 def terms_of(route: Route) -> Terms:
@@ -64,7 +64,7 @@
     def _answer(self, call: int, status: int, body: bytes = b"{}", retry_after_ms: int = 0) -> None:
         self._state.emit(Answer(call, self._state.answer(status, body, retry_after_ms)))
 
-    def _unconfigured(self, call: int) -> None:
+    def _answer_unconfigured(self, call: int) -> None:
         self._answer(call, 503, _reason("no configuration yet"), self._state.bounds.unready_retry_ms)
 
     def _job_id(self, request: JobCall) -> str:
@@ -83,7 +83,7 @@
     def _submit(self, call: int, request: JobCall) -> None:
         configuration = self._state.configuration
         if configuration is None:
-            self._unconfigured(call)
+            self._answer_unconfigured(call)
             return
         route = configuration.find_route(request.host, request.path)
         if route is None:
@@ -97,9 +97,9 @@
         if known is None:
             self._new(call, job_id, route, request.body)
         else:
-            self._known(call, known)
+            self._submit_known(call, known)
 
-    def _known(self, call: int, job: Job) -> None:
+    def _submit_known(self, call: int, job: Job) -> None:
         if not job.submitted:  # a cancel has overtaken it: it is kept as cancelled, and never runs
             job.submitted = True
             self._state.put(durable.end_key(job.id), encode(_end_record(job)))
@@ -115,7 +115,7 @@
             return
         terms = terms_of(route)
         kept_bytes = durable.most_bytes(body, spec.tasks, spec.timed)
-        reason = refusal(state, terms, kept_bytes)
+        reason = refusal_reason(state, terms, kept_bytes)
         if reason:
             state.counters.refused += 1
             self._answer(call, 429, _reason(reason), state.bounds.refused_retry_ms)
@@ -129,9 +129,9 @@
         state.timing.begin(job)
         state.after_write(partial(self._accepted, call, job, state.now_ms))
 
-    def _accepted(self, call: int, job: Job, came_ms: int) -> None:
+    def _accepted(self, call: int, job: Job, arrived_ms: int) -> None:
         self._answer(call, 200)
-        self._state.timing.note(job, Phase.ADMISSION, self._state.now_ms - came_ms)
+        self._state.timing.note(job, Phase.ADMISSION, self._state.now_ms - arrived_ms)
         if job.state is JobState.ACCEPTING:
             job.become_active()
             self._state.record(job, Happening.ACCEPTED)
@@ -151,22 +151,22 @@
         job = self._state.jobs.get(job_id)
         if job is None or not job.submitted:
             if self._state.configuration is None:
-                self._unconfigured(call)
+                self._answer_unconfigured(call)
             else:
                 self._answer(call, 410, _reason("no such job"))
             return
-        self._state.after_write(partial(self._show, call, job))
+        self._state.after_write(partial(self._answer_status, call, job))
 
-    def _show(self, call: int, job: Job) -> None:
-        word = _WORDS.get(job.shown, _WORDS[JobState.ACTIVE])
+    def _answer_status(self, call: int, job: Job) -> None:
+        word = _STATE_BODIES.get(job.shown, _STATE_BODIES[JobState.ACTIVE])
         if job.started and job.shown is JobState.ACTIVE:
-            word = _RUNNING
+            word = _RUNNING_BODY
         self._answer(call, 200, word)
 
     def _count(self, call: int, request: JobCall) -> None:
         configuration = self._state.configuration
         if configuration is None:
-            self._unconfigured(call)
+            self._answer_unconfigured(call)
             return
         route = configuration.find_route(request.host, request.path)
         if route is None:
@@ -184,9 +184,9 @@
         job = state.jobs.get(job_id)
         if job is None:
             if state.configuration is None:
-                self._unconfigured(call)
+                self._answer_unconfigured(call)
                 return
-            self._bar(job_id)
+            self._mark_cancelled(job_id)
             status = 410
         else:
             status = 200 if job.submitted else 410
@@ -194,7 +194,7 @@
                 self._ends.finish_job(job, JobState.CANCELLED)
         state.after_write(partial(self._answer, call, status, b"{}"))
 
-    def _bar(self, job_id: str) -> None:
+    def _mark_cancelled(self, job_id: str) -> None:
         """Leave a mark that the unknown id was cancelled, if there is room for it."""
         state = self._state
         if len(state.jobs) >= state.bounds.max_jobs:
--- a/flintfield/jobs/listings.py
+++ b/flintfield/jobs/listings.py
@@ -48,15 +48,15 @@
 
     def _take_in_ends(self, record: WorkerRecord, finished: tuple[End, ...]) -> None:
         """Take in every end that is told; `last_seen` follows only up to the first one that is missing."""
-        whole_up_to = None
+        contiguous_up_to = None
         for end in sorted(finished, key=lambda each: each.number):
             if end.number > record.taken_in:
                 self._take_in_end(record, end)
-            if whole_up_to is None or end.number == whole_up_to + 1:
-                whole_up_to = end.number
-        if whole_up_to is not None and whole_up_to > record.taken_in:
-            record.taken_in = whole_up_to
-            self._state.after_write(partial(self._noted, record, whole_up_to))
+            if contiguous_up_to is None or end.number == contiguous_up_to + 1:
+                contiguous_up_to = end.number
+        if contiguous_up_to is not None and contiguous_up_to > record.taken_in:
+            record.taken_in = contiguous_up_to
+            self._state.after_write(partial(self._advance_last_seen, record, contiguous_up_to))
 
     def _take_in_end(self, record: WorkerRecord, end: End) -> None:
         run = record.runs.get((end.task, end.run))
@@ -66,7 +66,7 @@
             self._state.service(record.worker.service).progress[record.instance] = self._state.now_ms
         self._ends.resolve(run, _ENDINGS[end.how], end.saved)
 
-    def _noted(self, record: WorkerRecord, number: int) -> None:
+    def _advance_last_seen(self, record: WorkerRecord, number: int) -> None:
         record.last_seen = max(record.last_seen, number)
 
     def _take_in_listing(self, record: WorkerRecord, report: AgentReport) -> None:
@@ -75,7 +75,7 @@
         record.listing_stamp = report.listing_stamp
         listed = {(each.task, each.run): each for each in report.running}
         ended = {(each.task, each.run) for each in report.finished}
-        self._note_strays(record, listed)
+        self._stop_strays(record, listed)
         every_run = self._state.now_ms - record.examined_ms >= EXAMINE_MS
         if every_run:
             record.examined_ms = self._state.now_ms
@@ -100,7 +100,7 @@
         if listed.percent > before:
             self._state.service(record.worker.service).progress[record.instance] = now
         if listed.saved and listed.saved != run.task.checkpoint:
-            self._ends.save(run.task, listed.saved)
+            self._ends.save_checkpoint(run.task, listed.saved)
         if run.state is RunState.RUNNING and self._should_stop(run, now):
             self._ends.runs.stop(run)
         else:
@@ -122,20 +122,20 @@
         settled = report.listing_stamp - self._state.bounds.settle_ms
         fenced = report.fenced_epoch == self._state.epoch
         if fenced and run.answered_stamp is not None and settled >= run.answered_stamp:
-            self._vanished(run)
+            self._resolve_vanished(run)
         elif run.state is RunState.INHERITED:
             if fenced and record.fence_stamp is not None and settled >= record.fence_stamp:
-                self._vanished(run)
+                self._resolve_vanished(run)
             elif run.task.job.ended or not gang_is_whole(run.task.step, run.number):
                 self._ends.runs.stop(run)
             elif not record.draining and run.task.state is TaskState.PLACED:
                 self._ends.runs.order_start(run, record)
 
-    def _vanished(self, run: Run) -> None:
+    def _resolve_vanished(self, run: Run) -> None:
         self._state.counters.vanished_runs += 1
         self._ends.resolve(run, Ending.VANISHED, "")
 
-    def _note_strays(self, record: WorkerRecord, listed: dict[tuple[str, int], ListedRun]) -> None:
+    def _stop_strays(self, record: WorkerRecord, listed: dict[tuple[str, int], ListedRun]) -> None:
         for key in [key for key in record.strays if key not in listed]:
             record.orders.pop(record.strays.pop(key), None)
         for key in listed:
--- a/flintfield/jobs/model.py
+++ b/flintfield/jobs/model.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flintfield.jobs.body import JobSpec, StepSpec, chain_left
+from flintfield.jobs.body import JobSpec, StepSpec, longest_chain_ms
 from flintfield.jobs.states import (
     JOB_CHANGES,
     RUN_CHANGES,
@@ -44,11 +44,11 @@
     stop_answered: bool = False
     ordered_ms: int = -1  # when its start order was first sent
     started_ms: int = -1  # when its start was answered, or it was first seen running
-    seen_ms: int = -1  # when it was first seen running
+    first_seen_ms: int = -1  # when it was first seen running
     percent: int = 0
     first_percent: int = 0  # when it was first seen
     percent_at_ms: int = -1  # when the percentage last moved
-    far: float = 1.0  # how many times as long it takes there, away from its data or its step
+    duration_factor: float = 1.0  # how many times as long it takes there, away from its data or its step
     suspect: bool = False  # it was stopped for standing still or being slow
 
     @property
@@ -77,8 +77,8 @@
             self._change(RunState.RUNNING)
         if self.started_ms < 0:
             self.started_ms = now_ms
-        if self.seen_ms < 0:
-            self.seen_ms = now_ms
+        if self.first_seen_ms < 0:
+            self.first_seen_ms = now_ms
             self.first_percent = percent
         if percent != self.percent or self.percent_at_ms < 0:
             self.percent = percent
@@ -116,7 +116,7 @@
     avoid: frozenset[str] = frozenset()  # instances where earlier runs failed, stalled or were lost
     moves: int = 0  # stops for standing still or being slow
     preempted: int = 0  # stops for a smaller priority number
-    quick_ends: int = 0  # of a lasting task in a row
+    consecutive_short_runs: int = 0  # of a lasting task in a row
     ready_ms: int = -1  # when its turn came last
     done_ms: int = -1  # when a listing first showed a run of it although it is done
     recorded: bool = False  # the store holds its record
@@ -239,7 +239,7 @@
 
     def __post_init__(self) -> None:
         if self.spec is not None:
-            self.chain = chain_left(self.spec.steps)
+            self.chain = longest_chain_ms(self.spec.steps)
 
     @property
     def ended(self) -> bool:
--- a/flintfield/jobs/moves.py
+++ b/flintfield/jobs/moves.py
@@ -6,27 +6,27 @@
 
 from __future__ import annotations
 
-from flintfield.jobs.demands import demand_of, may_hold
+from flintfield.jobs.demands import demand_of, can_place
 from flintfield.jobs.ends import Ends
-from flintfield.jobs.estimates import SLOW_STEP, estimate_ms, left_ms, pace_of, towards
+from flintfield.jobs.estimates import SLOWNESS_STEP, estimate_ms, left_ms, pace_of, step_towards
 from flintfield.jobs.model import Run
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.jobs.worker_record import WorkerRecord
 
 MAX_MOVES = 3  # of one task
-THROUGH = 100  # percent
+COMPLETE_PERCENT = 100  # percent
 STALL_MS = 1_500  # a percentage that stands still for less says nothing
 STALL_SHARE = 0.3  # of the estimate
-FRESH_PROGRESS_MS = 6_000  # elsewhere in the service, so that the fault is not ours
+RECENT_PROGRESS_MS = 6_000  # elsewhere in the service, so that the fault is not ours
 SLOW_WORKER = 2.5  # times as slow as usual
 SLOW_RUN = 2.0
 MOVE_COST_MS = 600  # stop, placement, start, restore
-WORTH_SHARE = 0.6  # a move must save the rest of this share of the time that is left
-MOVES_A_SECOND = 4.0
-MOVES_AT_ONCE = 8.0
+MAX_MOVED_TIME_SHARE = 0.6  # a move must save the rest of this share of the time that is left
+MOVES_PER_SECOND = 4.0
+MAX_MOVE_BURST = 8.0
 LEAVE_MARGIN_MS = 500  # before a worker may leave: time for a stop and its end
-LAST_STOP_MS = 1_200
+FORCED_STOP_MS = 1_200
 
 
 class Moves:
@@ -35,7 +35,7 @@
     def __init__(self, state: DispatcherState, ends: Ends) -> None:
         self._state = state
         self._ends = ends
-        self._allowance = MOVES_AT_ONCE
+        self._allowance = MAX_MOVE_BURST
         self._allowed_at_ms = state.now_ms
 
     # Stalls and slow workers
@@ -44,21 +44,21 @@
         """A listing shows the run; move it if it stands still or is far too slow where it is."""
         if run.task.step.spec.long_running or run.state is not RunState.RUNNING:
             return
-        self._learn(record, run)
+        self._update_pace(record, run)
         if self._stalled(record, run) or self._too_slow(record, run):
             self._move(run)
 
-    def _learn(self, record: WorkerRecord, run: Run) -> None:
+    def _update_pace(self, record: WorkerRecord, run: Run) -> None:
         pace = pace_of(run, self._state.now_ms)
         if pace is None or run.percent_at_ms != self._state.now_ms:
             return
         paces = self._state.paces
         route = run.task.job.route
-        record.slowness = towards(record.slowness, paces.usual(route) / pace, SLOW_STEP)
+        record.slowness = step_towards(record.slowness, paces.usual(route) / pace, SLOWNESS_STEP)
         paces.note(route, pace)
 
     def _stalled(self, record: WorkerRecord, run: Run) -> bool:
-        if _waits_for_its_gang(run):
+        if _waits_for_gang(run):
             return False
         now = self._state.now_ms
         limit = max(STALL_MS, STALL_SHARE * estimate_ms(run))
@@ -67,9 +67,9 @@
         if now - run.percent_at_ms < limit:
             return False
         progress = self._state.service(record.worker.service).progress
-        stood_ms = run.percent_at_ms + STALL_MS // 2
+        stalled_since_ms = run.percent_at_ms + STALL_MS // 2
         return any(
-            at >= stood_ms and now - at <= FRESH_PROGRESS_MS
+            at >= stalled_since_ms and now - at <= RECENT_PROGRESS_MS
             for name, at in progress.items()
             if name != record.instance
         )
@@ -83,22 +83,22 @@
         if pace is None or usual / pace < SLOW_RUN:
             return False
         stay = left_ms(run, now, usual)
-        todo = (100 - run.percent) / 100 if run.task.step.spec.checkpoints else 1.0
-        elsewhere = todo * estimate_ms(run) / usual + MOVE_COST_MS
-        return elsewhere < WORTH_SHARE * stay and self._has_room_elsewhere(run)
+        remaining_share = (100 - run.percent) / 100 if run.task.step.spec.checkpoints else 1.0
+        elsewhere_ms = remaining_share * estimate_ms(run) / usual + MOVE_COST_MS
+        return elsewhere_ms < MAX_MOVED_TIME_SHARE * stay and self._has_room_elsewhere(run)
 
     def _move(self, run: Run) -> None:
-        if run.task.moves >= MAX_MOVES or not self._allow():
+        if run.task.moves >= MAX_MOVES or not self._take_allowance():
             return
         run.task.moves += 1
         run.suspect = True
         self._state.counters.stalled_runs += 1
         self._ends.runs.stop(run)
 
-    def _allow(self) -> bool:
+    def _take_allowance(self) -> bool:
         now = self._state.now_ms
-        gained = (now - self._allowed_at_ms) / 1_000 * MOVES_A_SECOND
-        self._allowance = min(MOVES_AT_ONCE, self._allowance + gained)
+        gained = (now - self._allowed_at_ms) / 1_000 * MOVES_PER_SECOND
+        self._allowance = min(MAX_MOVE_BURST, self._allowance + gained)
         self._allowed_at_ms = now
         if self._allowance < 1:
             return False
@@ -109,7 +109,7 @@
         demand = demand_of(run.task)
         workers = self._state.service(demand.service).workers
         return any(
-            name != run.instance and name not in demand.avoid and may_hold(worker, demand)
+            name != run.instance and name not in demand.avoid and can_place(worker, demand)
             for name, worker in workers.items()
         )
 
@@ -128,13 +128,15 @@
             ends_in_time = not spec.long_running and left_ms(run, now, usual) + LEAVE_MARGIN_MS < time_left
             if ends_in_time:
                 continue
-            last_chance = spec.checkpoints and time_left < LAST_STOP_MS
+            last_chance = spec.checkpoints and time_left < FORCED_STOP_MS
             if last_chance or self._has_room_elsewhere(run):
                 self._ends.runs.stop(run)
 
 
-def _waits_for_its_gang(run: Run) -> bool:
+def _waits_for_gang(run: Run) -> bool:
     """Whether it is through and others aren't: a gang ends as a whole, so the first ones stand at the end."""
-    if not run.task.step.spec.gang or run.percent < THROUGH:
+    if not run.task.step.spec.gang or run.percent < COMPLETE_PERCENT:
         return False
-    return any(other.percent < THROUGH for other in run.task.step.open_runs() if other.number == run.number)
+    return any(
+        other.percent < COMPLETE_PERCENT for other in run.task.step.open_runs() if other.number == run.number
+    )
--- a/flintfield/jobs/occurrences.py
+++ b/flintfield/jobs/occurrences.py
@@ -15,8 +15,8 @@
     occurrence = Occurrence(job, number, due, steps_left=len(spec.steps))
     for index, step_spec in enumerate(spec.steps):
         step = Step(occurrence, index, step_spec, step_spec.count, len(step_spec.depends_on))
-        stem = f"{job.id}.{number}.{index}."
-        step.tasks = [Task(step, each, f"{stem}{each}") for each in range(step_spec.count)]
+        name_prefix = f"{job.id}.{number}.{index}."
+        step.tasks = [Task(step, each, f"{name_prefix}{each}") for each in range(step_spec.count)]
         occurrence.steps.append(step)
     job.open[number] = occurrence
     return occurrence
--- a/flintfield/jobs/orders.py
+++ b/flintfield/jobs/orders.py
@@ -13,11 +13,11 @@
 
 REPEAT_MS = 3_000  # an order without an answer is sent again after that
 RETRY_MS = 500  # a stop that was not carried out is sent again after that
-UNWELL_MS = 1_000  # a worker that refused is left alone so long (jitter on top)
+REFUSAL_PAUSE_MS = 1_000  # a worker that refused is left alone so long (jitter on top)
 
 _ANSWERED = (Outcome.DONE, Outcome.OLD)
 _NOTHING_DONE = (Outcome.LATE, Outcome.ROOM, Outcome.DRAINING, Outcome.BUSY)
-_UNWELL = (Outcome.BUSY, Outcome.UNKNOWN, Outcome.LATE, Outcome.BAD)
+_PAUSING_OUTCOMES = (Outcome.BUSY, Outcome.UNKNOWN, Outcome.LATE, Outcome.BAD)
 
 
 class Orders:
@@ -29,7 +29,7 @@
         self._state = state
         self._runs = runs
         self._resolve = resolve
-        self._gone = gone
+        self._on_gone = gone
 
     def results(self, record: WorkerRecord, results: tuple[OrderResult, ...]) -> None:
         """Take in what became of orders."""
@@ -40,21 +40,21 @@
 
     def _result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
         if result.outcome is Outcome.GONE:
-            self._gone(record)
+            self._on_gone(record)
         elif result.outcome is Outcome.FENCE:
             pending.sent_ms = self._state.now_ms  # a successor acts, or the answer was for a predecessor
         elif pending.run is None:
-            self._bar_result(record, pending, result)
+            self._stray_stop_result(record, pending, result)
         elif result.outcome in _ANSWERED:
             del record.orders[result.order]
             pending.run.order_answered(result.stamp_ms, self._state.now_ms)
         elif pending.start is not None:
             self._not_started(record, pending, pending.run, result.outcome)
         else:
-            self._note_unwell(record, result.outcome)
+            self._pause_worker(record, result.outcome)
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
 
-    def _bar_result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
+    def _stray_stop_result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
         """A stop of a run that is in no table: carried out, or to be repeated."""
         if result.outcome not in _ANSWERED:
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
@@ -65,22 +65,22 @@
 
     def _not_started(self, record: WorkerRecord, pending: PendingOrder, run: Run, outcome: Outcome) -> None:
         """Nothing was done; where an earlier try may yet be carried out, the run is barred first."""
-        self._note_unwell(record, outcome)
+        self._pause_worker(record, outcome)
         if outcome in _NOTHING_DONE and pending.boot == record.boot and run.state is RunState.ORDERED:
             self._resolve(run, Ending.REFUSED, "")
         elif run.state is not RunState.STOPPING:
             self._runs.order_stop(run, record)
 
-    def _note_unwell(self, record: WorkerRecord, outcome: Outcome) -> None:
-        if outcome in _UNWELL:
-            pause = UNWELL_MS * (1 + self._state.rng.random() / 2)
+    def _pause_worker(self, record: WorkerRecord, outcome: Outcome) -> None:
+        if outcome in _PAUSING_OUTCOMES:
+            pause = REFUSAL_PAUSE_MS * (1 + self._state.rng.random() / 2)
             record.unwell_until_ms = self._state.now_ms + int(pause)
 
     # Repetition
 
     def repeat_all(self, record: WorkerRecord) -> None:
         """A new connection, or a new life of the agent: what was sent before may be lost."""
-        record.starts_out, record.stops_out = [], []
+        record.unsent_starts, record.unsent_stops = [], []
         for pending in record.orders.values():
             self._send(record, pending)
 
@@ -92,8 +92,8 @@
 
     def _send(self, record: WorkerRecord, pending: PendingOrder) -> None:
         pending.sent_ms = self._state.now_ms
-        if pending.start is not None and pending.start not in record.starts_out:
-            record.starts_out.append(pending.start)
-        if pending.stop is not None and pending.stop not in record.stops_out:
-            record.stops_out.append(pending.stop)
+        if pending.start is not None and pending.start not in record.unsent_starts:
+            record.unsent_starts.append(pending.start)
+        if pending.stop is not None and pending.stop not in record.unsent_stops:
+            record.unsent_stops.append(pending.stop)
         self._state.send_to(record)
--- a/flintfield/jobs/patience.py
+++ b/flintfield/jobs/patience.py
@@ -15,21 +15,21 @@
 from flintfield.jobs.ranks import PRIORITY_GAP_MS
 
 SLACK_SHARE = 0.3  # of the time that is left until the objective is missed
-LEAST_MS = 10
-LONGEST_MS = 1_000
-ROOM_MS = 30  # where tasks wait for the room that an end makes
-LATE_X = 3.0  # times the objective: a job that is later than that earns nothing any more
+MIN_PATIENCE_MS = 10
+MAX_PATIENCE_MS = 1_000
+ROOM_WAIT_PATIENCE_MS = 30  # where tasks wait for the room that an end makes
+LATE_LIMIT_FACTOR = 3.0  # times the objective: a job that is later than that earns nothing any more
 
 
 def patience_ms(runs: Iterable[Run], tasks_wait: bool, paces: Paces, now_ms: int, wall_ms: int) -> int:
     """For a worker with these runs; `tasks_wait` tells whether tasks wait for room there."""
-    shortest = float(ROOM_MS if tasks_wait else LONGEST_MS)
+    shortest = float(ROOM_WAIT_PATIENCE_MS if tasks_wait else MAX_PATIENCE_MS)
     for run in runs:
         slack = _slack_ms(run, paces, now_ms, wall_ms)
         if slack is not None:
             shortest = min(shortest, slack * SLACK_SHARE)
-            if shortest <= LEAST_MS:
-                return LEAST_MS
+            if shortest <= MIN_PATIENCE_MS:
+                return MIN_PATIENCE_MS
     return int(shortest)
 
 
@@ -45,5 +45,5 @@
     if ends <= step_due:
         return step_due - ends
     begun = step.occurrence.due_wall_ms
-    late_due = begun + (step_due - begun) * LATE_X
+    late_due = begun + (step_due - begun) * LATE_LIMIT_FACTOR
     return late_due - ends if ends <= late_due else None
--- a/flintfield/jobs/preemption.py
+++ b/flintfield/jobs/preemption.py
@@ -17,10 +17,10 @@
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.placement.interface import Demand, Resources, Worker
 
-EARLY_MS = 400  # before the latest start that meets the objective
-AGAIN_MS = 1_000  # between two preemptions for one step
+PREEMPT_AHEAD_MS = 400  # before the latest start that meets the objective
+PREEMPT_INTERVAL_MS = 1_000  # between two preemptions for one step
 MAX_PREEMPTED = 2  # times for one task
-MAX_MEMBERS = 8  # that a step that is no gang makes room for at once
+MAX_TASKS_PER_PREEMPTION = 8  # that a step that is no gang makes room for at once
 MAX_LOST_MS = 2_500  # of work that is not saved, by one victim
 GPU_CORES = 8  # a GPU counts as that many cores
 
@@ -47,7 +47,10 @@
         state = self._state
         priority = step.occurrence.job.terms.priority
         latest_wall_ms = step.rank - priority * PRIORITY_GAP_MS
-        if state.wall_ms + EARLY_MS < latest_wall_ms or state.now_ms - step.preempted_ms < AGAIN_MS:
+        if (
+            state.wall_ms + PREEMPT_AHEAD_MS < latest_wall_ms
+            or state.now_ms - step.preempted_ms < PREEMPT_INTERVAL_MS
+        ):
             return
         demand = demand_of(next(iter(step.ready.values())))
         victims = self._victims(queue, step, demand)
@@ -60,9 +63,11 @@
             self._ends.runs.stop(run)
 
     def _victims(self, queue: ServiceQueue, step: Step, demand: Demand) -> list[Run]:
-        rooms = [self._room(worker, demand) for worker in queue.workers.values() if _suits(worker, demand)]
+        rooms = [
+            self._room(worker, demand) for worker in queue.workers.values() if _could_fit(worker, demand)
+        ]
         gang = step.spec.gang
-        members = len(step.ready) if gang else min(len(step.ready), MAX_MEMBERS)
+        members = len(step.ready) if gang else min(len(step.ready), MAX_TASKS_PER_PREEMPTION)
         victims: list[Run] = []
         for _ in range(members):
             best = self._cheapest(rooms, demand, step)
@@ -90,15 +95,15 @@
         for room in rooms:
             if demand.at_most and room.held >= demand.at_most:
                 continue
-            found = self._enough(room, demand, step)
+            found = self._cheapest_victims(room, demand, step)
             if found is None:
                 continue
-            loss = sum(self._loss(run) for run in found)
+            loss = sum(self._work_lost(run) for run in found)
             if best is None or loss < best[0]:
                 best = (loss, room, found)
         return None if best is None else (best[1], best[2])
 
-    def _enough(self, room: Room, demand: Demand, step: Step) -> list[Run] | None:
+    def _cheapest_victims(self, room: Room, demand: Demand, step: Step) -> list[Run] | None:
         """The cheapest runs there whose end gives room for one such task; None where there are not enough."""
         free = room.free
         taken: list[Run] = []
@@ -106,7 +111,7 @@
             return taken
         runs = self._state.workers[room.worker.instance].runs.values()
         able = [run for run in runs if run not in room.victims and self._may_stop(run, step)]
-        for run in sorted(able, key=self._loss):
+        for run in sorted(able, key=self._work_lost):
             taken.append(run)
             free = free.plus(run.resources)
             if demand.resources.fits(free):
@@ -122,17 +127,17 @@
             return False
         if task.job.terms.priority <= priority or task.preempted >= MAX_PREEMPTED or task.step.spec.gang:
             return False
-        return self._saves(run) or self._state.now_ms - run.placed_ms <= MAX_LOST_MS
+        return self._keeps_work(run) or self._state.now_ms - run.placed_ms <= MAX_LOST_MS
 
-    def _saves(self, run: Run) -> bool:
+    def _keeps_work(self, run: Run) -> bool:
         return run.task.step.spec.checkpoints or run.task.step.spec.long_running
 
-    def _loss(self, run: Run) -> float:
-        ran_ms = 0 if self._saves(run) else self._state.now_ms - run.placed_ms
+    def _work_lost(self, run: Run) -> float:
+        ran_ms = 0 if self._keeps_work(run) else self._state.now_ms - run.placed_ms
         return float(ran_ms + 100) * (run.resources.cpu + run.resources.gpu * GPU_CORES * 1_000)
 
 
-def _suits(worker: Worker, demand: Demand) -> bool:
+def _could_fit(worker: Worker, demand: Demand) -> bool:
     return (
         worker.ready
         and all(label in worker.labels for label in demand.needs)
--- a/flintfield/jobs/queues.py
+++ b/flintfield/jobs/queues.py
@@ -18,17 +18,19 @@
     steps: list[tuple[float, int, Step]] = field(default_factory=list)
     workers: dict[str, Worker] = field(default_factory=dict)
     dirty: bool = True
-    tried_ms: int = -1
-    rest_until_ms: int = 0  # no pass before that
+    last_pass_ms: int = -1
+    next_pass_ms: int = 0  # no pass before that
     backlog_cpu: Counter[int] = field(default_factory=Counter)  # by priority: thousandths of a core x ms
     backlog_gpu: Counter[int] = field(default_factory=Counter)  # by priority: GPUs x ms
     reserved: dict[str, Step] = field(default_factory=dict)  # instances kept for a large gang
     reserved_until_ms: int = 0
-    reserve_tried_ms: int = 0
+    last_reserve_attempt_ms: int = 0
     short_of_room: bool = False  # tasks found no room in the last pass
-    wanted_racks: frozenset[str] = frozenset()  # whose room tasks waited for in the last pass
+    awaited_racks: frozenset[str] = frozenset()  # whose room tasks waited for in the last pass
     progress: dict[str, int] = field(default_factory=dict)  # by instance: when a run there last made progress
-    withheld: list[Worker] = field(default_factory=list)  # of those, out of sight for the rest of a pass
+    hidden_workers: list[Worker] = field(
+        default_factory=list
+    )  # of those, out of sight for the rest of a pass
 
     def add(self, step: Step) -> None:
         """Take in a step; `rank` must not change while it is here."""
@@ -43,4 +45,4 @@
 
     def waits_for_room(self, worker: Worker) -> bool:
         """Whether tasks wait for the room of this worker, as the last pass found."""
-        return bool(self.steps) and (self.short_of_room or worker.rack in self.wanted_racks)
+        return bool(self.steps) and (self.short_of_room or worker.rack in self.awaited_racks)
--- a/flintfield/jobs/readiness.py
+++ b/flintfield/jobs/readiness.py
@@ -134,7 +134,7 @@
             if task.state is TaskState.DELAYED and not over:
                 self.make_ready(task)
 
-    def no_longer_ready(self, task: Task) -> None:
+    def remove_ready(self, task: Task) -> None:
         """It was placed, or needs no run any more."""
         step = task.step
         self._state.timing.settle_wait(step, self._state.now_ms)
--- a/flintfield/jobs/runs.py
+++ b/flintfield/jobs/runs.py
@@ -63,7 +63,7 @@
             state.now_ms,
         )
         if demand.affinity and worker.rack != demand.affinity:
-            run.far = state.bounds.far_x
+            run.duration_factor = state.bounds.far_x
         task.last_run = max(task.last_run, number)
         task.step.run_opened(run)
         task.become_placed()
@@ -80,7 +80,7 @@
         if run.state is not RunState.PLACING:
             return
         record = self._state.record_of(run)
-        if record is None or not record.worker.ready or not _wanted(run):
+        if record is None or not record.worker.ready or not _may_start(run):
             self._resolve(run, Ending.UNSENT, "")
             return
         self._state.counters.starts += 1
@@ -100,7 +100,7 @@
         run.order_sent(order.order, state.now_ms)
         job.started = True
         record.orders[order.order] = PendingOrder(run, state.now_ms, boot, start=order)
-        record.starts_out.append(order)
+        record.unsent_starts.append(order)
         state.send_to(record)
 
     def stop(self, run: Run) -> None:
@@ -127,7 +127,7 @@
     def _send_stop(self, record: WorkerRecord, name: str, number: int, run: Run | None) -> int:
         order = StopOrder(self._state.next_order(), name, number)
         record.orders[order.order] = PendingOrder(run, self._state.now_ms, stop=order)
-        record.stops_out.append(order)
+        record.unsent_stops.append(order)
         self._state.send_to(record)
         return order.order
 
@@ -144,13 +144,13 @@
         pending = record.orders.pop(run.order, None)
         if pending is None:
             return
-        if pending.start in record.starts_out:
-            record.starts_out.remove(pending.start)
-        if pending.stop in record.stops_out:
-            record.stops_out.remove(pending.stop)
+        if pending.start in record.unsent_starts:
+            record.unsent_starts.remove(pending.start)
+        if pending.stop in record.unsent_stops:
+            record.unsent_stops.remove(pending.stop)
 
 
-def _wanted(run: Run) -> bool:
+def _may_start(run: Run) -> bool:
     """Whether the run's order may still leave."""
     job: Job = run.task.job
     if job.state is not JobState.ACTIVE or run.task.state is not TaskState.PLACED:
--- a/flintfield/jobs/starts.py
+++ b/flintfield/jobs/starts.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from flintfield.jobs.demands import demand_of, may_hold
+from flintfield.jobs.demands import demand_of, can_place
 from flintfield.jobs.gangs import FORCE_AFTER_MS, Gangs
 from flintfield.jobs.model import Step, Task
 from flintfield.jobs.readiness import Readiness
@@ -20,11 +20,11 @@
 from flintfield.placement.interface import Demand, Worker
 
 MAX_STARTS = 256  # in one pass, so that an event stays short
-MAX_MISSES = 48  # demands without room in one pass; the rest wait for the next
-MAX_RACK_MISSES = 256  # steps that wait for a rack, in one pass; they keep nobody else waiting
-RACK_MISSES_A_MS = 8  # such a look is cheap
+MAX_WAITING_SHAPES = 48  # demands without room in one pass; the rest wait for the next
+MAX_RACK_WAITS = 256  # steps that wait for a rack, in one pass; they keep nobody else waiting
+RACK_WAITS_PER_PAUSE_MS = 8  # such a look is cheap
 RETRY_PASS_MS = 200  # a queue is tried again after that though nothing seems to have changed
-REST_BY_MISS_MS = 1  # a pass over many demands without room is dear: it is made less often
+PAUSE_PER_SHAPE_MS = 1  # a pass over many demands without room is dear: it is made less often
 
 Shape = tuple[object, ...]
 
@@ -47,28 +47,28 @@
         """A pass over each queue that something has changed for."""
         now = self._state.now_ms
         for queue in self._state.services.values():
-            if not queue.steps or now < queue.rest_until_ms:
+            if not queue.steps or now < queue.next_pass_ms:
                 continue
-            if queue.dirty or now - queue.tried_ms >= RETRY_PASS_MS:
+            if queue.dirty or now - queue.last_pass_ms >= RETRY_PASS_MS:
                 self._pass(queue)
 
     def _pass(self, queue: ServiceQueue) -> None:
         queue.dirty = False
-        queue.tried_ms = self._state.now_ms
+        queue.last_pass_ms = self._state.now_ms
         try:
             self._place_steps(queue)
         finally:
-            self._gangs.give_back(queue)
+            self._gangs.unhide_reserved(queue)
 
     def _place_steps(self, queue: ServiceQueue) -> None:
         causes: dict[Shape, WaitCause] = {}  # why steps of a shape wait: the others of it are not tried
         budget = MAX_STARTS
         racks = RackWaits(self._state, queue)
         for _, _, step in tuple(queue.steps):
-            if budget <= 0 or len(causes) >= MAX_MISSES or racks.misses >= MAX_RACK_MISSES:
+            if budget <= 0 or len(causes) >= MAX_WAITING_SHAPES or racks.waiting_steps >= MAX_RACK_WAITS:
                 queue.dirty = queue.dirty or budget <= 0
                 break
-            self._gangs.withhold(queue, step)
+            self._gangs.hide_reserved(queue, step)
             if step.queued_in != queue.name or step.occurrence.job.state is not JobState.ACTIVE:
                 continue
             shape = _shape(step)
@@ -92,9 +92,9 @@
                 self._gangs.reserve(queue, step)
                 self._preemption.make_room(queue, step)
         queue.short_of_room = any(cause in _SHORT_OF_ROOM for cause in causes.values())
-        queue.wanted_racks = racks.wanted
-        rest_ms = len(causes) * REST_BY_MISS_MS + racks.misses // RACK_MISSES_A_MS
-        queue.rest_until_ms = self._state.now_ms + rest_ms
+        queue.awaited_racks = racks.wanted
+        pause_ms = len(causes) * PAUSE_PER_SHAPE_MS + racks.waiting_steps // RACK_WAITS_PER_PAUSE_MS
+        queue.next_pass_ms = self._state.now_ms + pause_ms
 
     def _note_wait(self, step: Step, cause: WaitCause) -> None:
         self._state.timing.settle_wait(step, self._state.now_ms)
@@ -103,7 +103,7 @@
     def _wait_cause(self, queue: ServiceQueue, step: Step) -> WaitCause:
         """Why the step's ready tasks were not placed just now."""
         demand = demand_of(next(iter(step.ready.values())))
-        if not any(may_hold(worker, demand) for worker in queue.workers.values()):
+        if not any(can_place(worker, demand) for worker in queue.workers.values()):
             return WaitCause.ROOM
         if step.spec.gang:
             return WaitCause.GANG
@@ -117,54 +117,54 @@
         """Place ready tasks of the step; how many were."""
         tasks = list(step.ready.values())
         if not step.spec.affinity:
-            return self._place_tasks(queue, step, tasks, budget, near_only=False)
-        patient = [task for task in tasks if racks.may_wait(step, task)]
+            return self._place_tasks(queue, step, tasks, budget, data_rack_only=False)
+        rack_candidates = [task for task in tasks if racks.may_wait(step, task)]
         placed = 0
-        if patient and racks.has_room(step):
-            placed = self._place_tasks(queue, step, patient, budget, near_only=True)
-        left = [task for task in patient if task.index in step.ready]
-        waiting = racks.waiters(step, len(left)) if left else 0
+        if rack_candidates and racks.has_room(step):
+            placed = self._place_tasks(queue, step, rack_candidates, budget, data_rack_only=True)
+        left = [task for task in rack_candidates if task.index in step.ready]
+        waiting = racks.count_waiting(step, len(left)) if left else 0
         kept = {task.index for task in left[:waiting]}
         others = [task for task in tasks if task.index in step.ready and task.index not in kept]
-        return placed + self._place_tasks(queue, step, others, budget - placed, near_only=False)
+        return placed + self._place_tasks(queue, step, others, budget - placed, data_rack_only=False)
 
     def _place_tasks(
-        self, queue: ServiceQueue, step: Step, tasks: list[Task], budget: int, near_only: bool
+        self, queue: ServiceQueue, step: Step, tasks: list[Task], budget: int, data_rack_only: bool
     ) -> int:
         """Place these tasks, perhaps in the rack of their data only; how many were."""
         placed = 0
         for task in tasks:
             if placed >= budget or task.index not in step.ready or self._ends.fail_if_exhausted(task):
                 return placed
-            chosen = self._choose(queue, task, near_only)
+            chosen = self._choose(queue, task, data_rack_only)
             if chosen is None:
                 if not task.avoid:
                     return placed  # the others ask for the same
                 continue
             demand, worker = chosen
-            self._readiness.no_longer_ready(task)
+            self._readiness.remove_ready(task)
             self._gangs.end_reservation(queue, step)
             self._ends.runs.place(task, demand, worker, task.last_run + 1, task.checkpoint)
             placed += 1
         return placed
 
-    def _choose(self, queue: ServiceQueue, task: Task, near_only: bool) -> tuple[Demand, Worker] | None:
+    def _choose(self, queue: ServiceQueue, task: Task, data_rack_only: bool) -> tuple[Demand, Worker] | None:
         step = task.step
         siblings = _racks(step, queue) if step.spec.same_rack else frozenset()
-        demand = demand_of(task, siblings, near_only)
-        chosen = self._ask(queue, demand)
-        if chosen is None and not near_only and self._overdue(step):
+        demand = demand_of(task, siblings, data_rack_only)
+        chosen = self._ask_policy(queue, demand)
+        if chosen is None and not data_rack_only and self._overdue(step):
             chosen = self._least_used(queue, demand)
         return chosen
 
-    def _ask(self, queue: ServiceQueue, demand: Demand) -> tuple[Demand, Worker] | None:
-        if not any(may_hold(worker, demand) for worker in queue.workers.values()):
+    def _ask_policy(self, queue: ServiceQueue, demand: Demand) -> tuple[Demand, Worker] | None:
+        if not any(can_place(worker, demand) for worker in queue.workers.values()):
             return None
         instance = self._state.placement.choose(demand, self._state.placeable, self._state.now_ms)
         if instance is None:
             return None
         worker = queue.workers.get(instance)
-        if worker is None or not may_hold(worker, demand):
+        if worker is None or not can_place(worker, demand):
             self._state.counters.bad_placements += 1
             return None
         return demand, worker
@@ -172,7 +172,7 @@
     def _least_used(self, queue: ServiceQueue, demand: Demand) -> tuple[Demand, Worker] | None:
         """The fitting worker with the most room, trusted ones first, those that failed this task last."""
         trusted, now = self._state.placement.trusted, self._state.now_ms
-        fitting = [worker for worker in queue.workers.values() if may_hold(worker, demand)]
+        fitting = [worker for worker in queue.workers.values() if can_place(worker, demand)]
         if not fitting:
             return None
         best = min(
--- a/flintfield/jobs/state.py
+++ b/flintfield/jobs/state.py
@@ -181,8 +181,8 @@
     def _flush_orders(self, record: WorkerRecord) -> None:
         if not record.connected or record.stamp_ms < 0:
             return  # repeated from `orders` with the next report
-        starts, stops = record.starts_out, record.stops_out
-        record.starts_out, record.stops_out = [], []
+        starts, stops = record.unsent_starts, record.unsent_stops
+        record.unsent_starts, record.unsent_stops = [], []
         while True:
             orders = AgentOrders(
                 self.epoch,
--- a/flintfield/jobs/timing.py
+++ b/flintfield/jobs/timing.py
@@ -17,9 +17,9 @@
 from flintfield.jobs.model import Job, Step
 from flintfield.jobs.states import WaitCause
 
-MOST_QUEUES = 256  # by name; what belongs to later ones is summed under ""
-MOST_JOBS = 512  # with times of their own, the newest
-MOST_MS = 0xFFFF_FFFF  # of one sum of a job
+MAX_TIMED_QUEUES = 256  # by name; what belongs to later ones is summed under ""
+MAX_TIMED_JOBS = 512  # with times of their own, the newest
+MAX_SUM_MS = 0xFFFF_FFFF  # of one sum of a job
 
 
 class Phase(enum.IntEnum):
@@ -70,10 +70,10 @@
         self.total_ms = array("I", bytes(4 * PHASES))
         self.longest_ms = array("I", bytes(4 * PHASES))
 
-    def add(self, phase: Phase, all_ms: int, longest_ms: int) -> None:
+    def add(self, phase: Phase, sum_ms: int, longest_ms: int) -> None:
         """Tasks went through this phase in that time together, the longest in that."""
-        self.total_ms[phase] = min(MOST_MS, self.total_ms[phase] + all_ms)
-        self.longest_ms[phase] = max(self.longest_ms[phase], min(MOST_MS, longest_ms))
+        self.total_ms[phase] = min(MAX_SUM_MS, self.total_ms[phase] + sum_ms)
+        self.longest_ms[phase] = max(self.longest_ms[phase], min(MAX_SUM_MS, longest_ms))
 
 
 class Timing:
@@ -87,7 +87,7 @@
         """Keep times of this job, and drop those of the eldest where there are too many."""
         job.times = JobTimes()
         self._timed.append(job)
-        if len(self._timed) > MOST_JOBS:
+        if len(self._timed) > MAX_TIMED_JOBS:
             self._timed.popleft().times = None
 
     def note(self, job: Job, phase: Phase, each_ms: int, tasks: int = 1, longest_ms: int = 0) -> None:
@@ -116,13 +116,13 @@
     def _queue(self, name: str) -> QueueTimes:
         queue = self.queues.get(name)
         if queue is None:
-            if len(self.queues) >= MOST_QUEUES:
+            if len(self.queues) >= MAX_TIMED_QUEUES:
                 name = ""
-            queue = self.queues.setdefault(name, _no_times())
+            queue = self.queues.setdefault(name, _empty_times())
         return queue
 
 
-def _no_times() -> QueueTimes:
+def _empty_times() -> QueueTimes:
     return QueueTimes(*(array("q", bytes(8 * PHASES)) for _ in range(3)))
 
 
--- a/flintfield/jobs/worker_record.py
+++ b/flintfield/jobs/worker_record.py
@@ -40,16 +40,16 @@
     slowness: float = 1.0  # times as slow as is usual
     silent: bool = False
     unwell_until_ms: int = 0
-    unnamed_boot: int = 0  # a life of the agent that knew of no worker, and since when
-    unnamed_ms: int = 0
+    unidentified_boot: int = 0  # a life of the agent that knew of no worker, and since when
+    unidentified_since_ms: int = 0
     last_seen: int = 0  # durable
     taken_in: int = 0  # ends up to here are in the tables
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
     orders: dict[int, PendingOrder] = field(default_factory=dict)
     barred: dict[tuple[str, int], int] = field(default_factory=dict)  # released runs: their stop orders
     strays: dict[tuple[str, int], int] = field(default_factory=dict)  # listed, but not in the tables
-    starts_out: list[StartOrder] = field(default_factory=list)
-    stops_out: list[StopOrder] = field(default_factory=list)
+    unsent_starts: list[StartOrder] = field(default_factory=list)
+    unsent_stops: list[StopOrder] = field(default_factory=list)
 
     @property
     def instance(self) -> str:
--- a/flintfield/jobs/workers.py
+++ b/flintfield/jobs/workers.py
@@ -19,10 +19,10 @@
 from flintfield.jobs.worker_record import WorkerRecord, unknown_worker
 from flintfield.placement.interface import Resources
 
-REMEMBERED_GONE = 4_096  # incarnations that are gone; a late heartbeat of one must not bring it back
+MAX_GONE_REMEMBERED = 4_096  # incarnations that are gone; a late heartbeat of one must not bring it back
 FORGET_WORKER_MS = 600_000  # a silent worker without runs is forgotten after that
-NAMING_MS = 2_500  # how long an agent that knows of no worker is told which one it had
-PERIOD_MS = 150  # between two looks at all workers
+IDENTIFY_MS = 2_500  # how long an agent that knows of no worker is told which one it had
+CHECK_PERIOD_MS = 150  # between two looks at all workers
 
 
 class Workers:
@@ -33,8 +33,8 @@
         self._ends = ends
         self._moves = moves
         self._listings = Listings(state, ends, moves)
-        self._looked_ms = state.now_ms
-        self._orders = Orders(state, ends.runs, ends.resolve, self._gone)
+        self._last_check_ms = state.now_ms
+        self._orders = Orders(state, ends.runs, ends.resolve, self._remove_worker)
 
     # Reports
 
@@ -43,30 +43,30 @@
         state = self._state
         told = report.worker
         if told is None or told.instance in state.gone:
-            self._without_worker(report)
+            self._answer_without_worker(report)
             return
         record = self._record(report, told)
         if report.boot == record.boot and report.stamp_ms < record.stamp_ms:
             return  # passed by a newer one
-        fresh = self._note_life(record, report)
+        fresh = self._note_agent_process(record, report)
         self._note_worker(record, told, report)
         self._orders.results(record, report.results)
         if fresh:
             self._orders.repeat_all(record)
         self._listings.take_in(record, report)
-        self._take_in_lapse(record, report)
+        self._release_lapsed(record, report)
         self._grant(record, report)
         self.update_ready(record)
         state.send_to(record)
 
-    def _without_worker(self, report: AgentReport) -> None:
+    def _answer_without_worker(self, report: AgentReport) -> None:
         state = self._state
         instance, last_seen = "", 0
         record = state.workers.get(state.by_machine.get(report.machine, ""))
         if record is not None:
             record.connected = False
             self.update_ready(record)
-            if self._may_name(record, report):
+            if self._may_identify(record, report):
                 instance, last_seen = record.instance, record.last_seen
                 record.granted_ms, record.granted_stamp = state.now_ms, report.stamp_ms
         state.emit(
@@ -76,33 +76,33 @@
             )
         )
 
-    def _may_name(self, record: WorkerRecord, report: AgentReport) -> bool:
+    def _may_identify(self, record: WorkerRecord, report: AgentReport) -> bool:
         """Whether to tell a new life of the agent which worker it had, so that its hold goes on."""
         now = self._state.now_ms
         if report.boot == record.boot or record.barred:
             return False
-        if record.unnamed_boot != report.boot:
-            record.unnamed_boot, record.unnamed_ms = report.boot, now
-        return now - record.unnamed_ms < NAMING_MS
+        if record.unidentified_boot != report.boot:
+            record.unidentified_boot, record.unidentified_since_ms = report.boot, now
+        return now - record.unidentified_since_ms < IDENTIFY_MS
 
     def _record(self, report: AgentReport, told: WorkerState) -> WorkerRecord:
         state = self._state
         record = state.workers.get(told.instance)
         if record is None or state.by_machine.get(report.machine) != told.instance:
-            self._drop_earlier(report.machine, told.instance)
+            self._drop_earlier_incarnations(report.machine, told.instance)
             state.by_machine[report.machine] = told.instance
         if record is None:
             record = WorkerRecord(unknown_worker(told.instance, report.machine), False, state.now_ms)
             state.workers[told.instance] = record
         return record
 
-    def _drop_earlier(self, machine: str, instance: str) -> None:
+    def _drop_earlier_incarnations(self, machine: str, instance: str) -> None:
         """Another incarnation is there now, so that all earlier ones run nothing any more."""
         for record in list(self._state.workers.values()):
             if record.worker.machine == machine and record.instance != instance:
-                self._gone(record)
+                self._remove_worker(record)
 
-    def _note_life(self, record: WorkerRecord, report: AgentReport) -> bool:
+    def _note_agent_process(self, record: WorkerRecord, report: AgentReport) -> bool:
         """Whether this is a new life of the agent, or a new connection, so that orders are to be repeated."""
         if not record.known or record.boot != report.boot:
             record.boot = report.boot
@@ -149,11 +149,11 @@
         for run in record.runs.values():
             affinity = run.task.step.spec.affinity
             if affinity and record.worker.rack != affinity:
-                run.far = self._state.bounds.far_x
+                run.duration_factor = self._state.bounds.far_x
 
     # Holds
 
-    def _take_in_lapse(self, record: WorkerRecord, report: AgentReport) -> None:
+    def _release_lapsed(self, record: WorkerRecord, report: AgentReport) -> None:
         """Everything that the agent knew of at its last report is over."""
         if report.lapsed:
             for run in list(record.runs.values()):
@@ -176,12 +176,12 @@
         self._state.counters.lost_runs += 1
         self._ends.resolve(run, Ending.LOST, "")
 
-    def _gone(self, record: WorkerRecord) -> None:
+    def _remove_worker(self, record: WorkerRecord) -> None:
         """This incarnation runs nothing any more."""
         state = self._state
         state.workers.pop(record.instance, None)
         state.gone[record.instance] = None
-        if len(state.gone) > REMEMBERED_GONE:
+        if len(state.gone) > MAX_GONE_REMEMBERED:
             state.gone.popitem(last=False)
         if state.by_machine.get(record.worker.machine) == record.instance:
             del state.by_machine[record.worker.machine]
@@ -203,7 +203,7 @@
         if record is None:
             return
         record.connected = False
-        record.starts_out, record.stops_out = [], []
+        record.unsent_starts, record.unsent_stops = [], []
         self.update_ready(record)
 
     def update_ready(self, record: WorkerRecord) -> None:
@@ -226,9 +226,9 @@
     def tick(self) -> None:
         """Release what is over for certain, repeat what has no answer, forget who is long gone."""
         state = self._state
-        if state.now_ms - self._looked_ms < PERIOD_MS:
+        if state.now_ms - self._last_check_ms < CHECK_PERIOD_MS:
             return
-        self._looked_ms = state.now_ms
+        self._last_check_ms = state.now_ms
         for record in list(state.workers.values()):
             age = state.now_ms - record.granted_ms
             if record.runs and age >= state.bounds.empty_after_ms:
@@ -239,7 +239,7 @@
                 if record.draining and record.runs:
                     self._moves.evacuate(record)
             elif not record.runs and age >= FORGET_WORKER_MS:
-                self._gone(record)
+                self._remove_worker(record)
                 continue
             self.update_ready(record)
 
--- a/tests/system/jobs_fleet.py
+++ b/tests/system/jobs_fleet.py
@@ -16,7 +16,7 @@
 from flintfield.jobs.events import AgentLost, Event, ReportArrived
 from flintfield.jobs.messages import AgentOrders, AgentReport, End, How, Run, WorkerState
 
-from .jobs_worker import Seen, WorldWorker
+from .jobs_worker import ObservedRun, WorldWorker
 from .support.worker_model import ModelRun
 from .support.worker_plan import Bounds, Capacity, RunPlan
 
@@ -49,8 +49,8 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = 0
         self.term = 0
-        self.seen: list[Seen] = []
-        self.unnoted: dict[WorldWorker, set[int]] = {}
+        self.seen: list[ObservedRun] = []
+        self.unacknowledged: dict[WorldWorker, set[int]] = {}
         self.plans: dict[str, Callable[[str], RunPlan]] = {}
         self.faults = 0
         self.instances = 0
@@ -79,7 +79,7 @@
         self.instances += 1
         capacity = Capacity(cpu, 16_384, 2)
         worker = WorldWorker(self, name, f"i-{self.instances}", capacity, self.rng.uniform(0.98, 1.0))
-        self.unnoted[worker] = set()
+        self.unacknowledged[worker] = set()
         return worker
 
     def gang(self, key: tuple[str, int]) -> list[tuple[WorldWorker, ModelRun]]:
--- a/tests/system/jobs_judge.py
+++ b/tests/system/jobs_judge.py
@@ -9,8 +9,8 @@
 
 from flintfield.jobs.messages import Method
 
-from .jobs_worker import Seen
-from .jobs_world import WALL_0, Told, World
+from .jobs_worker import ObservedRun
+from .jobs_world import WALL_0, ClientAnswer, World
 
 MAX_ATTEMPTS = 2  # of the world's routes
 CANCEL_MS = 3_000
@@ -26,17 +26,17 @@
 
     def check(self) -> list[str]:
         """All broken rules."""
-        by_task: dict[str, list[Seen]] = {}
+        by_task: dict[str, list[ObservedRun]] = {}
         for seen in self.world.seen:
             by_task.setdefault(seen.task, []).append(seen)
         for task, runs in by_task.items():
-            self._twice(task, runs)
-            self._order(task, runs, by_task)
-            self._budget(task, runs)
-            self._unasked(task, runs)
-        self._limit()
-        self._drain()
-        self._mixed(by_task)
+            self._check_single_run(task, runs)
+            self._check_order(task, runs, by_task)
+            self._check_attempts(task, runs)
+            self._check_requested(task, runs)
+        self._check_capacity()
+        self._check_drain()
+        self._check_reported_states(by_task)
         return self.faults
 
     def _step(self, task: str) -> dict[str, Any]:
@@ -44,7 +44,7 @@
         found: dict[str, Any] = self.world.jobs[job]["steps"][int(step)]
         return found
 
-    def _twice(self, task: str, runs: list[Seen]) -> None:
+    def _check_single_run(self, task: str, runs: list[ObservedRun]) -> None:
         if self._step(task).get("speculative"):
             return
         ordered = sorted(runs, key=lambda seen: seen.start)
@@ -53,12 +53,14 @@
                 self.faults.append(
                     f"TWICE {task}: run {before.run} until {before.end}, {after.run} from {after.start}"
                 )
-        for done in [seen for seen in runs if seen.how == "done" and seen.noted and seen.end is not None]:
+        for done in [
+            seen for seen in runs if seen.how == "done" and seen.acknowledged and seen.end is not None
+        ]:
             for other in runs:
                 if other.start > (done.end or 0):
                     self.faults.append(f"TWICE {task}: run {other.run} after {done.run} was done")
 
-    def _order(self, task: str, runs: list[Seen], by_task: dict[str, list[Seen]]) -> None:
+    def _check_order(self, task: str, runs: list[ObservedRun], by_task: dict[str, list[ObservedRun]]) -> None:
         job, number, step, _ = task.split(".")
         body = self.world.jobs[job]
         first = min(seen.start for seen in runs)
@@ -74,23 +76,26 @@
             if reached > first:
                 self.faults.append(f"ORDER {task}: started before step {earlier} was done")
 
-    def _done_at(self, task: str, by_task: dict[str, list[Seen]]) -> float:
+    def _done_at(self, task: str, by_task: dict[str, list[ObservedRun]]) -> float:
         ends = [seen.end for seen in by_task.get(task, ()) if seen.how == "done" and seen.end is not None]
         return min(ends, default=float("inf"))
 
-    def _budget(self, task: str, runs: list[Seen]) -> None:
+    def _check_attempts(self, task: str, runs: list[ObservedRun]) -> None:
         if self._step(task).get("longRunning"):
             return
         for seen in runs:
             failed = [
                 other
                 for other in runs
-                if other.how == "failed" and other.noted and other.end is not None and other.end < seen.start
+                if other.how == "failed"
+                and other.acknowledged
+                and other.end is not None
+                and other.end < seen.start
             ]
             if len(failed) >= MAX_ATTEMPTS:
                 self.faults.append(f"BUDGET {task}: run {seen.run} after {len(failed)} failed")
 
-    def _unasked(self, task: str, runs: list[Seen]) -> None:
+    def _check_requested(self, task: str, runs: list[ObservedRun]) -> None:
         job = task.partition(".")[0]
         cancelled = self.world.cancelled_at.get(job)
         for seen in runs:
@@ -101,7 +106,7 @@
             if seen.start > cancelled + CANCEL_MS:
                 self.faults.append(f"UNASKED {task}: started {seen.start - cancelled} ms after the cancel")
 
-    def _limit(self) -> None:
+    def _check_capacity(self) -> None:
         for worker in {id(seen.worker): seen.worker for seen in self.world.seen}.values():
             mine = [seen for seen in self.world.seen if seen.worker is worker]
             for seen in mine:
@@ -111,24 +116,24 @@
                 if cpu > worker.capacity.cpu:
                     self.faults.append(f"LIMIT {worker.instance}: {cpu} at {at} with {seen.task}")
 
-    def _drain(self) -> None:
+    def _check_drain(self) -> None:
         for seen in self.world.seen:
             if seen.draining_since is None or seen.late:
                 continue
             if seen.start > seen.draining_since + DRAIN_MS:
                 self.faults.append(f"DRAIN {seen.task}: {seen.start - seen.draining_since} ms after")
 
-    def _mixed(self, by_task: dict[str, list[Seen]]) -> None:
+    def _check_reported_states(self, by_task: dict[str, list[ObservedRun]]) -> None:
         for told in self.world.told:
             if told.method is not Method.STATUS or told.answer.status != 200:
                 continue
             state = json.loads(told.answer.body)["state"]
             if state == "completed":
-                self._all_done(told, by_task)
+                self._check_completed(told, by_task)
             elif state == "cancelled" and told.job not in self.world.cancelled_at:
                 self.faults.append(f"LOST {told.job}: cancelled by nobody")
 
-    def _all_done(self, told: Told, by_task: dict[str, list[Seen]]) -> None:
+    def _check_completed(self, told: ClientAnswer, by_task: dict[str, list[ObservedRun]]) -> None:
         body = self.world.jobs[told.job]
         for number in range(max(1, body.get("repeatCount", 0))):
             for index, step in enumerate(body["steps"]):
--- a/tests/system/jobs_worker.py
+++ b/tests/system/jobs_worker.py
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Seen:
+class ObservedRun:
     """A run as its worker saw it, in world time."""
 
     task: str
@@ -27,7 +27,7 @@
     end: float | None = None
     how: str = ""
     number: int = 0
-    noted: bool = False  # `lastSeen` reached it, and the hold had not lapsed in between
+    acknowledged: bool = False  # `lastSeen` reached it, and the hold had not lapsed in between
     draining_since: float | None = None  # as an agent has acknowledged it
     late: bool = False  # the order was carried out seconds after it was sent
 
@@ -43,11 +43,11 @@
         self.dead = False
         self.draining_since: float | None = None
         self.drain_acknowledged: float | None = None
-        self.open: dict[str, Seen] = {}
-        self.ended: list[Seen] = []
+        self.open: dict[str, ObservedRun] = {}
+        self.ended: list[ObservedRun] = []
         self.serving_late = False
         self.factor = 1.0  # what is started takes so many times as long
-        self.hampered: dict[str, tuple[int, int, float]] = {}  # by task: since when, ms done by then, factor
+        self.slowed: dict[str, tuple[int, int, float]] = {}  # by task: since when, ms done by then, factor
         super().__init__(instance, 0, world.worker_bounds, capacity, plan=world.plan)
 
     def clock(self) -> int:
@@ -77,8 +77,8 @@
         status, answer = super().hold(now, fields)
         if status == 200:
             for seen in self.ended:
-                if seen.number <= self.last_seen and seen.number not in self.world.unnoted[self]:
-                    seen.noted = True
+                if seen.number <= self.last_seen and seen.number not in self.world.unacknowledged[self]:
+                    seen.acknowledged = True
         return status, answer
 
     def advance(self, now: int) -> None:
@@ -87,16 +87,16 @@
         super().advance(now)
         if lapses <= now:
             over = self.to_world(lapses)
-            late = {seen.number for seen in self.ended if not seen.noted and (seen.end or 0) <= over}
-            self.world.unnoted[self].update(late)
+            late = {seen.number for seen in self.ended if not seen.acknowledged and (seen.end or 0) <= over}
+            self.world.unacknowledged[self].update(late)
 
     def _begin(self, task: str, run: int, plan: RunPlan, saved: str) -> None:
-        seen = Seen(
+        seen = ObservedRun(
             task,
             run,
             self,
             saved,
-            self.spec_in_hand,
+            self.current_spec,
             self.to_world(self.now),
             draining_since=self.drain_acknowledged,
             late=self.serving_late,
@@ -107,7 +107,7 @@
 
     def start(self, now: int, fields: dict[str, object]) -> tuple[int, dict[str, object]]:
         """Remember the spec for the judge."""
-        self.spec_in_hand = str(fields.get("spec"))
+        self.current_spec = str(fields.get("spec"))
         return super().start(now, fields)
 
     def _begin_run(self, task: str, run: int, plan: RunPlan, saved: str) -> None:
@@ -135,18 +135,18 @@
 
     def _work(self, run: ModelRun) -> None:
         super()._work(run)
-        self.hampered.pop(run.task, None)
+        self.slowed.pop(run.task, None)
         if self.factor == 1.0 or run.ends_at is None:
             return
         done_ms = int(run.saved, 16) if run.saved else 0
         begin = self.now + (self.bounds.restore_ms if run.saved else 0)
-        self.hampered[run.task] = (begin, done_ms, self.factor)
+        self.slowed[run.task] = (begin, done_ms, self.factor)
         run.ends_at = begin + int((run.plan.work_ms - done_ms) * self.factor)
 
     def _work_from(self, run: ModelRun) -> None:
         """Let the base class count the work that was done by now."""
-        if run.task in self.hampered:
-            begin, done_ms, factor = self.hampered[run.task]
+        if run.task in self.slowed:
+            begin, done_ms, factor = self.slowed[run.task]
             run.work_from = self.now - done_ms - int(max(0, self.now - begin) / factor)
 
     def _percent(self, run: ModelRun) -> int:
--- a/tests/system/jobs_world.py
+++ b/tests/system/jobs_world.py
@@ -31,7 +31,7 @@
 from flintfield.placement.market import Market
 
 from .jobs_fleet import JITTER_MS, Fleet
-from .jobs_worker import Seen
+from .jobs_worker import ObservedRun
 from .support.worker_plan import RunPlan
 
 WALL_0 = 1_700_000_000_000
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class Told:
+class ClientAnswer:
     """An answer that a client got."""
 
     at: float
@@ -97,7 +97,7 @@
         self.unwritten: list[Write] = []
         self.write_ms = 8.0
         self.dispatcher: Dispatcher | None = None
-        self.told: list[Told] = []
+        self.told: list[ClientAnswer] = []
         self.calls: dict[int, tuple[str, Method]] = {}
         self.next_call = 0
         self.jobs: dict[str, dict[str, Any]] = {}
@@ -165,7 +165,7 @@
                     self.after(self.write_ms + self.rng.random(), partial(self._written, self.term))
                 case Answer():
                     job, method = self.calls.pop(effect.call)
-                    self.told.append(Told(self.now, job, method, effect.answer))
+                    self.told.append(ClientAnswer(self.now, job, method, effect.answer))
                     if method is Method.CANCEL and effect.answer.status in (200, 410):
                         self.cancelled_at.setdefault(job, self.now)
                 case SendOrders():
@@ -223,7 +223,7 @@
         self.configuration = configuration
         self.feed(ConfigurationChanged(configuration))
 
-    def runs_of(self, task: str) -> list[Seen]:
+    def runs_of(self, task: str) -> list[ObservedRun]:
         """What workers saw of a task."""
         return [seen for seen in self.seen if seen.task == task]
 
--- a/tests/system/test_jobs_calm.py
+++ b/tests/system/test_jobs_calm.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from .jobs_judge import Judge
-from .test_jobs_faults import JOBS, TROUBLE_MS, FaultyDay
+from .test_jobs_faults import JOBS, FAULT_PERIOD_MS, FaultScenario
 
-CALM_ENDS = {"done", "failed", "broken", "stopped", ""}
+FAULT_FREE_ENDS = {"done", "failed", "broken", "stopped", ""}
 
 
-class CalmDays(unittest.TestCase):
+class FaultFreeScenarios(unittest.TestCase):
     """Without troubles."""
 
     @settings(
@@ -25,17 +25,17 @@
     )
     @given(st.integers(0, 1_000_000))
     def test_no_gang_waits_in_vain_and_every_job_ends(self, seed: int) -> None:
-        day = FaultyDay(seed)
+        day = FaultScenario(seed)
         world, rng = day.world, day.rng
         world.run(1_200)
         for _ in range(JOBS):
-            world.after(rng.uniform(0, TROUBLE_MS), day.submit)
+            world.after(rng.uniform(0, FAULT_PERIOD_MS), day.submit)
         for _ in range(30):
-            world.after(rng.uniform(300, TROUBLE_MS + 20_000), day.ask)
-        world.run(TROUBLE_MS + 40_000)
+            world.after(rng.uniform(300, FAULT_PERIOD_MS + 20_000), day.ask)
+        world.run(FAULT_PERIOD_MS + 40_000)
         self.assertEqual(Judge(world).check(), [])
         self.assertEqual(day.unfinished(), [])
-        self.assertLessEqual({seen.how for seen in world.seen}, CALM_ENDS)
+        self.assertLessEqual({seen.how for seen in world.seen}, FAULT_FREE_ENDS)
         still = [seen for seen in world.seen if seen.end is None and seen.task[:16] in world.cancelled_at]
         self.assertEqual(still, [])
 
--- a/tests/system/test_jobs_distance.py
+++ b/tests/system/test_jobs_distance.py
@@ -34,7 +34,7 @@
 
     def test_a_run_elsewhere_is_expected_to_take_longer(self) -> None:
         run = self.place("rack-none")
-        self.assertEqual(FAR_X, run.far)
+        self.assertEqual(FAR_X, run.duration_factor)
         self.assertEqual(FAR_X * WORK_MS, estimate_ms(run))
 
     def test_half_of_the_longer_time_is_a_usual_pace(self) -> None:
@@ -58,7 +58,7 @@
         world.elect()
         world.run(1_500)
         (run,) = runs_of(world, job_id(1))
-        self.assertEqual(FAR_X, run.far)
+        self.assertEqual(FAR_X, run.duration_factor)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_jobs_faults.py
+++ b/tests/system/test_jobs_faults.py
@@ -17,17 +17,17 @@
 from .jobs_world import WALL_0, World, job_id
 from .support.worker_plan import RunPlan
 
-TROUBLE_MS = 20_000
+FAULT_PERIOD_MS = 20_000
 JOBS = 14
 
 
-def varied(rng: random.Random, gang: int, checkpoints: bool, lasting: bool) -> RunPlan:
+def random_plan(rng: random.Random, gang: int, checkpoints: bool, lasting: bool) -> RunPlan:
     """What a run does; some fail."""
     how = "failed" if rng.random() < (0.3 if lasting else 0.06) else "done"
     return RunPlan(rng.choice([120, 400, 900, 2_500, 6_000]), how, checkpoints, gang)
 
 
-class FaultyDay:
+class FaultScenario:
     """A world, its jobs and its troubles, all drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
@@ -42,12 +42,12 @@
         world, rng = self.world, self.rng
         world.run(1_200)
         for _ in range(JOBS):
-            world.after(rng.uniform(0, TROUBLE_MS), self.submit)
+            world.after(rng.uniform(0, FAULT_PERIOD_MS), self.submit)
         for _ in range(rng.randint(2, 9)):
-            world.after(rng.uniform(300, TROUBLE_MS), rng.choice(self.troubles()))
+            world.after(rng.uniform(300, FAULT_PERIOD_MS), rng.choice(self.troubles()))
         for _ in range(30):
-            world.after(rng.uniform(300, TROUBLE_MS + 20_000), self.ask)
-        world.run(TROUBLE_MS)
+            world.after(rng.uniform(300, FAULT_PERIOD_MS + 20_000), self.ask)
+        world.run(FAULT_PERIOD_MS)
         world.run(60_000)
 
     def troubles(self) -> list[Callable[[], None]]:
@@ -103,7 +103,7 @@
         def plan(task: str) -> RunPlan:
             step = steps[int(task.split(".")[2])]
             gang = step["count"] if step.get("gang") else 1
-            return varied(plan_rng, gang, bool(step.get("checkpoints")), bool(step.get("longRunning")))
+            return random_plan(plan_rng, gang, bool(step.get("checkpoints")), bool(step.get("longRunning")))
 
         job = job_id(self.number)
         world.submit(job, steps, plan, **body)
@@ -111,7 +111,7 @@
             world.after(rng.uniform(100, 4_000), partial(world.submit, job, steps, plan, **body))
         if rng.random() < 0.15 or any(step.get("longRunning") for step in steps):
             world.after(rng.uniform(2_000, 12_000), partial(world.call, Method.CANCEL, job))
-            world.after(TROUBLE_MS + 15_000, partial(world.call, Method.CANCEL, job))
+            world.after(FAULT_PERIOD_MS + 15_000, partial(world.call, Method.CANCEL, job))
 
     def ask(self) -> None:
         """Ask for a job's state."""
@@ -174,13 +174,13 @@
 
     def stall(self) -> None:
         """What a worker starts from now on stands still."""
-        self._hamper(500.0)
+        self._slow_down(500.0)
 
     def slow(self) -> None:
         """What a worker starts from now on takes longer."""
-        self._hamper(self.rng.uniform(3, 8))
+        self._slow_down(self.rng.uniform(3, 8))
 
-    def _hamper(self, factor: float) -> None:
+    def _slow_down(self, factor: float) -> None:
         worker = self.machine().worker
         worker.factor = factor
 
@@ -197,7 +197,7 @@
         return [job for job in sorted(accepted) if self.world.state_of(job) in ("queued", "running", "410")]
 
 
-class FaultyDays(unittest.TestCase):
+class FaultScenarios(unittest.TestCase):
     """Any mix of troubles."""
 
     @settings(
@@ -209,7 +209,7 @@
     )
     @given(st.integers(0, 1_000_000))
     def test_no_rule_breaks_and_every_job_ends(self, seed: int) -> None:
-        day = FaultyDay(seed)
+        day = FaultScenario(seed)
         day.play()
         self.assertEqual(Judge(day.world).check(), [])
         self.assertEqual(day.unfinished(), [])
--- a/tests/system/test_jobs_intake.py
+++ b/tests/system/test_jobs_intake.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flintfield.jobs.body import MalformedJob, chain_left, read_job
+from flintfield.jobs.body import MalformedJob, longest_chain_ms, read_job
 from flintfield.jobs.bounds import DispatcherBounds
 from flintfield.jobs.dispatcher import Dispatcher
 from flintfield.jobs.durable import TaskRecord, parse_task
@@ -92,7 +92,7 @@
                 {"count": 1, "estimateMs": 2, "dependsOn": [2]},
             )
         ).steps
-        self.assertEqual(chain_left(steps), [8, 10, 3, 2])
+        self.assertEqual(longest_chain_ms(steps), [8, 10, 3, 2])
 
 
 class DurableForm(unittest.TestCase):
--- a/tests/system/test_jobs_long_history.py
+++ b/tests/system/test_jobs_long_history.py
@@ -17,14 +17,14 @@
 from .jobs_world import World, job_id, simple
 
 JOBS = 20_000
-JOBS_AT_ONCE = 20
-BATCH_MS = 500.0  # 40 jobs a second
+JOBS_PER_BATCH = 20
+BATCH_PERIOD_MS = 500.0  # 40 jobs a second
 TAKEOVER_EVERY = 2_500  # jobs
 STATUS_S = 10
-MOST_STORE_BYTES = 400_000  # of 1,200 ended jobs and some tens of active ones
+MAX_STORE_BYTES = 400_000  # of 1,200 ended jobs and some tens of active ones
 SPEC_BYTES = 2_000
 TASKS = 12  # of a job
-MOST_JOBS = 1_000
+MAX_SUBMISSIONS = 1_000
 
 
 def stored_bytes(world: World) -> int:
@@ -41,15 +41,15 @@
         world.elect()
         world.run(2_000)
         largest = 0
-        for first in range(0, JOBS, JOBS_AT_ONCE):
+        for first in range(0, JOBS, JOBS_PER_BATCH):
             if first and first % TAKEOVER_EVERY == 0:
                 world.fail_dispatcher()
                 world.elect()
-            for number in range(first, first + JOBS_AT_ONCE):
+            for number in range(first, first + JOBS_PER_BATCH):
                 world.submit(
                     job_id(number), [{"count": 1, "cpu": 500, "memMb": 10, "estimateMs": 200}], simple(200)
                 )
-            world.run(BATCH_MS)
+            world.run(BATCH_PERIOD_MS)
             largest = max(largest, stored_bytes(world))
         world.run(5_000)
         accepted = {
@@ -58,12 +58,12 @@
         done = {seen.task.partition(".")[0] for seen in world.seen if seen.how == "done"}
         self.assertGreater(len(accepted), JOBS * 98 // 100)
         self.assertEqual(set(), accepted - done)
-        self.assertLess(largest, MOST_STORE_BYTES)
+        self.assertLess(largest, MAX_STORE_BYTES)
         world.run(STATUS_S * 1_500 + 1_000)
         self.assertEqual(0, stored_bytes(world))
 
 
-class NearTheBound(unittest.TestCase):
+class StoreNearItsBound(unittest.TestCase):
     """Work comes while there is no worker, until the store has no room for more."""
 
     def setUp(self) -> None:
@@ -75,14 +75,14 @@
 
     def fill(self, first: int = 0) -> int:
         """Hand jobs in until one is refused; returns how many were accepted."""
-        for number in range(first, first + MOST_JOBS):
-            answer = self.hand_in(job_id(number))
+        for number in range(first, first + MAX_SUBMISSIONS):
+            answer = self.submit_job(job_id(number))
             if answer.status != 200:
                 self.assertEqual((429, 1_000), (answer.status, answer.retry_after_ms))
                 return number - first
         raise AssertionError("nothing was refused")
 
-    def hand_in(self, job: str) -> JobAnswer:
+    def submit_job(self, job: str) -> JobAnswer:
         """Submit a job of some tasks."""
         steps = [{"count": TASKS, "cpu": 100, "memMb": 10, "estimateMs": 500}]
         body = json.dumps({"spec": "s" * SPEC_BYTES, "steps": steps}).encode()
@@ -135,7 +135,7 @@
     )
 
 
-class TheBoundOfADeployment(unittest.TestCase):
+class BoundFromSettings(unittest.TestCase):
     """What the settings of a process say."""
 
     def test_it_leaves_room_in_the_replicas_store(self) -> None:
--- a/tests/system/test_jobs_moves.py
+++ b/tests/system/test_jobs_moves.py
@@ -97,7 +97,7 @@
         self.assertEqual(sorted(seen.how for seen in self.world.seen), ["done", "stopped"])
 
 
-class Urgency(unittest.TestCase):
+class PriorityTests(unittest.TestCase):
     """Priorities and room."""
 
     def setUp(self) -> None:
@@ -152,7 +152,7 @@
         self.assertEqual(self.world.state_of(job_id(99)), "completed")
 
 
-class Silence(unittest.TestCase):
+class SilentWorkers(unittest.TestCase):
     """Workers that answer nothing any more while their agents live on."""
 
     def test_the_tasks_of_a_worker_that_vanishes_are_elsewhere_within_eight_seconds(self) -> None:
@@ -260,7 +260,7 @@
         self.assertEqual(self.world.state_of(job_id(2)), "completed")
 
 
-class NeverNow(Market):
+class AlwaysWaitPolicy(Market):
     """A policy that would always rather wait."""
 
     def choose(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
@@ -278,7 +278,7 @@
     """A task whose turn has come does not wait for 3 s beside free room, whatever the policy thinks."""
 
     def test_tasks_and_gangs_are_placed_by_room_alone_after_a_while(self) -> None:
-        world = World(machines=2, placement=NeverNow)
+        world = World(machines=2, placement=AlwaysWaitPolicy)
         world.elect()
         world.run(1_500)
         world.submit(job_id(1), [{"count": 2, "cpu": 500, "estimateMs": 300}], simple(300))
--- a/tests/system/test_jobs_patience.py
+++ b/tests/system/test_jobs_patience.py
@@ -8,12 +8,18 @@
 from flintfield.agent.clock import WorkerClock
 from flintfield.agent.events import Answer, AnswerKind, Hold
 from flintfield.agent.holds import GATHER_MS, Grant, HoldSchedule, Purpose
-from flintfield.jobs.patience import LEAST_MS, LONGEST_MS, ROOM_MS, SLACK_SHARE, patience_ms
+from flintfield.jobs.patience import (
+    MIN_PATIENCE_MS,
+    MAX_PATIENCE_MS,
+    ROOM_WAIT_PATIENCE_MS,
+    SLACK_SHARE,
+    patience_ms,
+)
 
 from .jobs_world import ConfigurationModel, RouteModel, Steps, World, job_id, simple
 
 
-class Told(unittest.TestCase):
+class DispatcherPatience(unittest.TestCase):
     """What the dispatcher tells."""
 
     def world(self, extension: float = 1.5, target_ms: int = 1_000) -> World:
@@ -38,7 +44,7 @@
         world.run(200)
 
     def test_a_worker_without_runs_has_all_the_time(self) -> None:
-        self.assertEqual(LONGEST_MS, self.patience(self.world()))
+        self.assertEqual(MAX_PATIENCE_MS, self.patience(self.world()))
 
     def test_a_part_of_the_time_until_the_objective_is_missed(self) -> None:
         world = self.world()
@@ -49,7 +55,7 @@
         world = self.world(extension=1.0, target_ms=250)
         self.submit(world)
         self.assertLessEqual(self.patience(world), 100)
-        self.assertGreaterEqual(self.patience(world), LEAST_MS)
+        self.assertGreaterEqual(self.patience(world), MIN_PATIENCE_MS)
 
     def test_a_late_job_is_measured_by_the_time_until_it_earns_nothing(self) -> None:
         world = self.world(extension=1.0, target_ms=100)
@@ -60,15 +66,15 @@
         world = self.world()
         self.submit(world)
         world.run(15_000)
-        self.assertEqual(LONGEST_MS, self.patience(world))
+        self.assertEqual(MAX_PATIENCE_MS, self.patience(world))
 
     def test_little_time_where_tasks_wait_for_room(self) -> None:
         world = self.world(extension=9.0, target_ms=60_000)
         self.submit(world, count=9)
-        self.assertEqual(ROOM_MS, self.patience(world))
+        self.assertEqual(ROOM_WAIT_PATIENCE_MS, self.patience(world))
 
 
-class Kept(unittest.TestCase):
+class AgentPatience(unittest.TestCase):
     """What the agent makes of it."""
 
     def after_an_end(self, patience_ms: int) -> HoldSchedule:
--- a/tests/system/test_jobs_timing.py
+++ b/tests/system/test_jobs_timing.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from flintfield.jobs.timing import MOST_JOBS, MOST_QUEUES, JobTimes, Phase, Timing, logged_times
+from flintfield.jobs.timing import MAX_TIMED_JOBS, MAX_TIMED_QUEUES, JobTimes, Phase, Timing, logged_times
 from flintfield.observe.times import job_times, queue_times
 
 from .jobs_world import Steps, World, job_id, simple
@@ -12,7 +12,7 @@
 STEPS: Steps = [{"count": 3, "cpu": 1_000, "estimateMs": 500}, {"count": 1, "cpu": 1_000, "dependsOn": [0]}]
 
 
-class OnePath(unittest.TestCase):
+class TwoStepJob(unittest.TestCase):
     """A job of two steps, from its submission until it is shown."""
 
     def setUp(self) -> None:
@@ -64,7 +64,7 @@
         world = World()
         world.elect()
         world.run(500)
-        for number in range(MOST_JOBS + 1):
+        for number in range(MAX_TIMED_JOBS + 1):
             world.submit(job_id(number), [{"count": 1, "cpu": 10}], simple(1))
         assert world.dispatcher is not None
         jobs = world.dispatcher.state.jobs
@@ -79,10 +79,10 @@
         world.submit(job_id(1), [{"count": 1, "cpu": 10}], simple(1))
         assert world.dispatcher is not None
         job, timing = world.dispatcher.state.jobs[job_id(1)], Timing()
-        for number in range(MOST_QUEUES + 9):
+        for number in range(MAX_TIMED_QUEUES + 9):
             job.route = f"q{number}"
             timing.note(job, Phase.RUN, 5)
-        self.assertEqual(MOST_QUEUES + 1, len(timing.queues))
+        self.assertEqual(MAX_TIMED_QUEUES + 1, len(timing.queues))
         self.assertEqual(9, timing.queues[""].count[Phase.RUN])
 
 
--- a/tests/system/test_jobs_world.py
+++ b/tests/system/test_jobs_world.py
@@ -9,7 +9,7 @@
 from .jobs_world import WALL_0, Steps, World, job_id, simple
 
 
-class CalmDay(unittest.TestCase):
+class FaultFreeRun(unittest.TestCase):
     """Without faults."""
 
     def setUp(self) -> None:
