--- a/flintfield/jobs/__init__.py
+++ b/flintfield/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their steps, tasks and runs as state machines, and what is said of them between processes."""
+"""Jobs: their steps, tasks and runs as state machines, and the messages about them between processes."""
--- a/flintfield/jobs/admission.py
+++ b/flintfield/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: refuse early what could not be done in time, or would pass a bound of the tables."""
+"""Admission control: rejects jobs that could not be run in time or that would exceed a table limit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def refusal_reason(state: DispatcherState, terms: Terms, kept_bytes: int) -> str:
-    """Why a new job of these terms, which may take so many bytes in the store, is refused; or ""."""
+    """The reason to reject a new job with these terms and this store size; "" if it is admitted."""
     bounds = state.bounds
     if len(state.jobs) >= bounds.max_jobs:
         return "too many jobs are kept"
@@ -20,7 +20,7 @@
 
 
 def _backlog_ms(queue: ServiceQueue, priority: int) -> float:
-    """How long the service needs for the work that goes before such a job; 0 while no worker is known."""
+    """Time the service needs for the work queued ahead of such a job; 0 while no worker is known."""
     cpu = sum(worker.capacity.cpu for worker in queue.workers.values())
     gpu = sum(worker.capacity.gpu for worker in queue.workers.values())
     cpu_work = sum(work for number, work in queue.backlog_cpu.items() if number <= priority)
--- a/flintfield/jobs/body.py
+++ b/flintfield/jobs/body.py
@@ -1,7 +1,7 @@
-"""Reading and checking the body of a job.
+"""Parses and validates the body of a job.
 
-Every malformed body raises `MalformedJob` with the reason, which becomes a 400. The bounds keep one job from
-taking the dispatcher's memory; they lie far above what clients send.
+A malformed body raises `MalformedJob` with the reason, which is answered with status 400. The limits keep one
+job from exhausting the dispatcher's memory; they are far above what clients send.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 import msgspec
 
-MAX_SPEC_BYTES = 4_000  # as the protocol promises
+MAX_SPEC_BYTES = 4_000  # set by the protocol
 MAX_STEPS = 256
-MAX_TASKS = 20_000  # of one occurrence, over all steps
+MAX_TASKS = 20_000  # per occurrence, summed over all steps
 MAX_REPEAT = 1_000_000
 MAX_LABEL_BYTES = 256
-MAX_AMOUNT = 1 << 40  # of a resource, or of ms: keeps all sums within 64 bits
+MAX_AMOUNT = 1 << 40  # of a resource or a time in ms: keeps all sums within 64 bits
 MAX_WALL_MS = 1 << 53
 
 
 class MalformedJob(ValueError):
-    """The body is no job; the text says why."""
+    """The body is not a valid job; the message is the reason."""
 
 
 class StepSpec(msgspec.Struct, frozen=True, rename="camel", gc=False):
-    """One step: `count` equal tasks. Units as on the wire: thousandths of a core, MB, ms."""
+    """One step of `count` identical tasks. Units are those of the protocol: millicores, MB, ms."""
 
     count: int = 0
     cpu: int = 0
@@ -43,14 +43,14 @@
 
     @property
     def needs(self) -> tuple[str, ...]:
-        """The labels that a worker must carry."""
+        """The labels that a worker must have."""
         if isinstance(self.constraints, str):
             return (self.constraints,) if self.constraints else ()
         return self.constraints
 
 
 class JobSpec(msgspec.Struct, frozen=True, rename="camel"):
-    """A job as its client described it; `repeat_count` 0 means once, at once."""
+    """A job as submitted by the client. A `repeat_count` of 0 means that it runs once, immediately."""
 
     spec: str = ""
     steps: tuple[StepSpec, ...] = ()
@@ -60,22 +60,22 @@
 
     @property
     def timed(self) -> bool:
-        """Whether the steps run at set times."""
+        """Whether the job runs on a schedule."""
         return self.repeat_count > 0
 
     @property
     def tasks(self) -> int:
-        """How many tasks one occurrence has."""
+        """Number of tasks per occurrence."""
         return sum(step.count for step in self.steps)
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """Number of times that the job runs."""
         return max(self.repeat_count, 1)
 
 
 def read_job(data: bytes) -> JobSpec:
-    """The job in this body; raises `MalformedJob`."""
+    """Parse and validate a job body; raises `MalformedJob`."""
     try:
         job = _decoder().decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -130,7 +130,7 @@
 
 
 def longest_chain_ms(steps: tuple[StepSpec, ...]) -> list[int]:
-    """For each step the estimated ms of the longest chain of steps that begins with it, itself included."""
+    """For each step, the estimated length (ms) of the longest dependency chain that starts with it."""
     left = [step.estimate_ms for step in steps]
     for index in range(len(steps) - 1, -1, -1):
         for earlier in steps[index].depends_on:
--- a/flintfield/jobs/copies.py
+++ b/flintfield/jobs/copies.py
@@ -1,7 +1,7 @@
-"""Copies of tasks of `speculative` steps: a second run where the first takes far longer than expected.
+"""Speculative copies: a second run for a task of a `speculative` step whose first run is far behind.
 
-Whichever run ends `done` first counts, and the other is stopped. A copy takes only room that nobody waits
-for.
+The first run to end `done` counts, and the other is stopped. Copies are placed only while no task waits for
+capacity.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState, RunState, TaskState
 
-LATE_FACTOR = 1.6  # times the expected time
+LATE_FACTOR = 1.6  # multiple of the expected duration
 MIN_LATE_MS = 600
 NEARLY_DONE_PERCENT = 75  # percent
 CHECK_PERIOD_MS = 250
-MAX_CHECKED_TASKS = 256  # tasks a look; the rest wait for the next
+MAX_CHECKED_TASKS = 256  # per check; the rest wait for the next check
 
 
 class Copies:
-    """Looks after placed tasks of speculative steps."""
+    """Starts copies of late tasks of speculative steps."""
 
     def __init__(self, state: DispatcherState, ends: Ends) -> None:
         self._state = state
@@ -31,7 +31,7 @@
         self._last_check_ms = state.now_ms
 
     def tick(self) -> None:
-        """Start copies where they are due."""
+        """Start copies of late tasks."""
         state = self._state
         if state.now_ms - self._last_check_ms < CHECK_PERIOD_MS:
             return
@@ -58,7 +58,7 @@
         demand = demand_of(task)
         queue = state.service(demand.service)
         if queue.steps:
-            return  # others wait for room
+            return  # other tasks wait for capacity
         demand = replace(demand, avoid=demand.avoid | {run.instance for run in task.runs})
         instance = state.placement.choose(demand, state.placeable, state.now_ms)
         worker = queue.workers.get(instance or "")
--- a/flintfield/jobs/demands.py
+++ b/flintfield/jobs/demands.py
@@ -1,15 +1,15 @@
-"""What placement is asked for, and whether its answer may be followed."""
+"""Builds placement requests and checks placement decisions against the rules."""
 
 from __future__ import annotations
 
 from flintfield.jobs.model import Task
 from flintfield.placement.interface import Demand, Resources, Worker
 
-UNLIMITED_TASKS = 1 << 20  # places for tasks that ask for nothing
+UNLIMITED_TASKS = 1 << 20  # for tasks that request no resources
 
 
 def demand_of(task: Task, siblings: frozenset[str] = frozenset(), data_rack_only: bool = False) -> Demand:
-    """The demand of a task; `near_only` asks for the label of the rack where its data lies."""
+    """The demand of a task; `data_rack_only` also requires the label of the rack that holds its data."""
     step = task.step
     spec = step.spec
     job = step.occurrence.job
@@ -32,7 +32,7 @@
 
 
 def can_place(worker: Worker, demand: Demand) -> bool:
-    """Whether the rules allow this task on that worker now: service, labels, anti-affinity, capacity."""
+    """Whether the task may be placed on the worker now: service, labels, anti-affinity, capacity."""
     if not worker.ready or worker.service != demand.service:
         return False
     if any(label not in worker.labels for label in demand.needs):
@@ -43,13 +43,13 @@
 
 
 def tasks_that_fit(room: Resources, asked: Resources) -> int:
-    """How many such tasks that room holds (below 0: it is short already)."""
+    """Number of such tasks that fit into free resources (below 0: already overcommitted)."""
     pairs = ((room.cpu, asked.cpu), (room.memory_mb, asked.memory_mb), (room.gpu, asked.gpu))
-    return min((there // each for there, each in pairs if each), default=UNLIMITED_TASKS)
+    return min((available // required for available, required in pairs if required), default=UNLIMITED_TASKS)
 
 
 def has_room(worker: Worker, demand: Demand) -> bool:
-    """Whether the capacity that is not in use is enough."""
+    """Whether the worker's free capacity is sufficient."""
     asked, used, capacity = demand.resources, worker.used, worker.capacity
     return (
         used.cpu + asked.cpu <= capacity.cpu
--- a/flintfield/jobs/dispatcher.py
+++ b/flintfield/jobs/dispatcher.py
@@ -1,14 +1,13 @@
-"""The dispatcher: the state machine that decides on all jobs, fenced by its epoch.
+"""The dispatcher: the state machine that makes all decisions about jobs, fenced by its epoch.
 
-`handle(now_ms, event)` takes in one event and returns what is to be done. It does no I/O, has no clock and is
-given its random numbers. Rules that it keeps:
+`handle(now_ms, event)` processes one event and returns the resulting effects. It does no I/O and reads no
+clock; its random generator is passed in. Invariants:
 
-- What clients are told, what workers may forget and what they are ordered to start is durable first:
-  effects that depend on a change wait for the `Written` of its write.
-- A task has one run at a time (copies of `speculative` steps apart), and a run counts on its worker from
-  its placement until its end is certain.
-- Everything that depends on time alone is released only by what the worker itself stops using by its own
-  clock.
+- A change is durable before it is reported to a client, before a worker may forget the ends that it covers
+  and before a worker is ordered to start a run: dependent effects wait for the `Written` of its write.
+- A task has one run at a time, except for copies of `speculative` steps. A run occupies capacity on its
+  worker from its placement until its end is certain.
+- Capacity is released by a timeout only after the worker, by its own clock, has stopped using it.
 """
 
 from __future__ import annotations
@@ -46,7 +45,7 @@
 
 
 class Dispatcher:
-    """Decides on jobs, tasks and runs while its epoch lasts; dropped as a whole when it is over."""
+    """Manages jobs, tasks and runs for one epoch; discarded when the epoch ends."""
 
     def __init__(
         self,
@@ -70,33 +69,33 @@
 
     @property
     def counters(self) -> Counters:
-        """What has been counted so far."""
+        """The counters of this epoch."""
         return self._state.counters
 
     @property
     def state(self) -> DispatcherState:
-        """Its tables, to be looked at and not to be changed."""
+        """The tables of the dispatcher, for reading only."""
         return self._state
 
     @property
     def configuration_version(self) -> int:
-        """The version of the configuration in force here; 0: none yet."""
+        """Version of the configuration in force; 0 if there is none yet."""
         configuration = self._state.configuration
         return configuration.version if configuration is not None else 0
 
     @property
     def epoch(self) -> int:
-        """The fencing token of its orders."""
+        """The fencing token of this dispatcher's orders."""
         return self._state.epoch
 
     def restore(self, items: Mapping[bytes, bytes]) -> None:
-        """Take over what an earlier dispatcher wrote; called once, before the first event."""
+        """Load the records of earlier dispatchers; called once, before the first event."""
         Restore(self._state, self._readiness).restore(items)
         if self._state.configuration is not None:
             self._intake.configure(self._state.configuration)
 
     def handle(self, now_ms: int, event: Event) -> list[Effect]:
-        """Take in an event; `now_ms` is the steady clock of this process."""
+        """Process an event; `now_ms` is the monotonic clock of this process."""
         self._state.now_ms = now_ms
         match event:
             case CallArrived():
--- a/flintfield/jobs/durable.py
+++ b/flintfield/jobs/durable.py
@@ -1,14 +1,14 @@
-"""The durable form of jobs: keys and records in the ordered store.
+"""Storage format of jobs: keys and records in the ordered store.
 
 | key | value | written |
 | --- | --- | --- |
-| `j` + id | `JobRecord`: body, queue, terms | once, before 200 to the client |
-| `e` + id | `EndRecord`: how the job ended, and when | with the end, or with a cancel |
-| `k` + id | `OccurrencesRecord`: which times are done | a timed job, as each time is done |
-| `t` + id + `.` + K.STEP.INDEX | `TaskRecord` | a task that was ever placed, at each change |
+| `j` + id | `JobRecord`: body, queue, terms | once, before the client receives 200 |
+| `e` + id | `EndRecord`: final state and end time | when the job ends or is cancelled |
+| `k` + id | `OccurrencesRecord`: completed occurrences | each time an occurrence of a timed job completes |
+| `t` + id + `.` + K.STEP.INDEX | `TaskRecord` | at each change of a task that was ever placed |
 
-A task's record goes when its occurrence or job has ended and no run of it may still be there. All records
-of a job go when it is forgotten.
+A task's record is deleted once its occurrence or job has ended and none of its runs may still exist. All
+records of a job are deleted when the job is forgotten.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 JOB, END, OCCURRENCES, TASK = b"j", b"e", b"k", b"t"
 
-# What records take beside the body, with their keys: measured for the longest usual names, rounded up.
+# Upper estimates of the record sizes, including keys but not the body, for the longest usual names.
 JOB_RECORDS_BYTES = 256  # `JobRecord` without its body, `EndRecord` and `OccurrencesRecord`
-TASK_RECORD_BYTES = 360  # `TaskRecord` with two runs: one that is there, one whose end is not certain
-OPEN_OCCURRENCES = 2  # of a timed job: one that runs late, beside the next
+TASK_RECORD_BYTES = 360  # `TaskRecord` with two runs: a current one and one whose end is not certain yet
+OPEN_OCCURRENCES = 2  # of a timed job: a late one and the next
 
 
 @dataclass(frozen=True, slots=True)
 class TermsRecord:
-    """What the configuration said of the job's queue."""
+    """Stored configuration of the job's queue."""
 
     service: str
     priority: int
@@ -42,7 +42,7 @@
 @record(110)
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """An accepted job; `accepted_wall_ms` is common time."""
+    """An accepted job; `accepted_wall_ms` is cluster time."""
 
     route: str
     terms: TermsRecord
@@ -53,7 +53,7 @@
 @record(111)
 @dataclass(frozen=True, slots=True)
 class EndRecord:
-    """How a job ended (a `JobState`). `submitted` is False for the mark of a cancelled unknown id."""
+    """Final state of a job (a `JobState`). `submitted` is False if an unknown id was cancelled."""
 
     state: int
     ended_wall_ms: int
@@ -64,7 +64,7 @@
 @record(112)
 @dataclass(frozen=True, slots=True)
 class OccurrencesRecord:
-    """Which times of a timed job are done: all below `done_below`, and those named."""
+    """Completed occurrences of a timed job: all below `done_below`, plus those in `done_above`."""
 
     done_below: int
     done_above: tuple[int, ...]
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """A run that may be there: from before its start order leaves until its end is certain."""
+    """A run that may exist: stored before its start order is sent, until its end is certain."""
 
     number: int
     instance: str
@@ -87,7 +87,7 @@
 @record(113)
 @dataclass(frozen=True, slots=True)
 class TaskRecord:
-    """A task that was ever placed. `failed` are the numbers of the runs that ended `failed`."""
+    """A task that was ever placed. `failed` holds the numbers of its failed runs."""
 
     last_run: int
     done: bool
@@ -97,34 +97,34 @@
 
 
 def most_bytes(body: bytes, tasks: int, timed: bool) -> int:
-    """What a job may take in the store while it is active, all of its tasks placed (bytes)."""
+    """Upper bound of a job's size in the store (bytes) while it is active with all tasks placed."""
     occurrences = OPEN_OCCURRENCES if timed else 1
     return len(body) + JOB_RECORDS_BYTES + tasks * occurrences * TASK_RECORD_BYTES
 
 
 def job_key(job: str) -> bytes:
-    """Key of the accepted job."""
+    """Key of the `JobRecord`."""
     return JOB + job.encode()
 
 
 def end_key(job: str) -> bytes:
-    """Key of the job's end."""
+    """Key of the `EndRecord`."""
     return END + job.encode()
 
 
 def occurrences_key(job: str) -> bytes:
-    """Key of the done times."""
+    """Key of the `OccurrencesRecord`."""
     return OCCURRENCES + job.encode()
 
 
 def task_key(task: str) -> bytes:
-    """Key of a task by its name `ID.K.STEP.INDEX`."""
+    """Key of the `TaskRecord` of the task with the name `ID.K.STEP.INDEX`."""
     return TASK + task.encode()
 
 
 @dataclass(frozen=True, slots=True)
 class TaskName:
-    """The parts of a task's name."""
+    """The components of a task name."""
 
     job: str
     occurrence: int
@@ -133,25 +133,25 @@
 
 
 def parse_task(name: str) -> TaskName:
-    """The parts of a task's name; raises `ValueError`."""
+    """Parse a task name; raises `ValueError`."""
     job, occurrence, step, index = name.split(".")
     return TaskName(job, int(occurrence), int(step), int(index))
 
 
 def encode_terms(terms: Terms) -> TermsRecord:
-    """The durable form of a queue's terms."""
+    """Convert terms to their stored form."""
     return TermsRecord(
         terms.service, terms.priority, terms.max_attempts, terms.extension, terms.target_latency_ms
     )
 
 
 def decode_terms(terms: TermsRecord) -> Terms:
-    """A queue's terms from their durable form."""
+    """Convert terms from their stored form."""
     return Terms(terms.service, terms.priority, terms.max_attempts, terms.extension, terms.target_latency_ms)
 
 
 def encode_run(run: Run) -> RunRecord:
-    """The durable form of a run."""
+    """Convert a run to its stored form."""
     room = run.resources
     return RunRecord(
         run.number, run.instance, run.machine, run.epoch, room.cpu, room.memory_mb, room.gpu, run.checkpoint
@@ -159,7 +159,7 @@
 
 
 def encode_task(task: Task) -> bytes:
-    """The durable form of a task."""
+    """Encode a task's record."""
     runs = tuple(encode_run(run) for run in task.runs)
     done = task.state is TaskState.DONE
     return encode(TaskRecord(task.last_run, done, task.failed, task.checkpoint, runs))
--- a/flintfield/jobs/ends.py
+++ b/flintfield/jobs/ends.py
@@ -1,7 +1,8 @@
-"""What follows from the end of a run: for its task, its gang, its step, its occurrence and its job.
+"""Handles the end of a run: its consequences for the task, gang, step, occurrence and job.
 
-An end is written in the same batch as all that follows from it. Orders that follow leave after that batch is
-durable. Only ends `failed` count as attempts, and a run of a gang counts once, however many members failed.
+An end and all its consequences are written in one batch. The resulting orders are sent after that batch is
+durable. Only runs that end `failed` count as attempts, and a run of a gang counts once, no matter how many of
+its members failed.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from flintfield.placement.interface import Result
 from flintfield.transport.records import encode
 
-SHORT_RUN_MS = 3_000  # a lasting task that ran for less backs off
+SHORT_RUN_MS = 3_000  # a failed run of a long-running task that was shorter than this causes a backoff
 FIRST_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 2_000
-REFUSAL_BACKOFF_MS = 100  # after an order that was not carried out
+REFUSAL_BACKOFF_MS = 100  # after an order that the worker did not carry out
 
 _RESULTS = {
     Ending.DONE: Result.DONE,
@@ -34,7 +35,7 @@
 
 
 class Ends:
-    """Takes in the ends of runs."""
+    """Processes the ends of runs."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness) -> None:
         self._state = state
@@ -42,7 +43,7 @@
         self.runs = Runs(state, self.resolve)
 
     def resolve(self, run: Run, ending: Ending, checkpoint: str) -> None:
-        """The run is over for certain; `saved` is its newest checkpoint or ""."""
+        """Process the certain end of a run; `checkpoint` is its newest checkpoint or ""."""
         state = self._state
         task = run.task
         state.counters.ends += 1
@@ -71,7 +72,7 @@
             state.write_task(task)
 
     def save_checkpoint(self, task: Task, checkpoint: str) -> None:
-        """A newer checkpoint is known; any member's is good for its gang."""
+        """Store a newer checkpoint; a checkpoint of any gang member is valid for the whole gang."""
         if not checkpoint or not task.step.spec.checkpoints:
             return
         for each in task.step.tasks if task.step.spec.gang else (task,):
@@ -88,7 +89,7 @@
     def _record_times(self, run: Run, ending: Ending) -> None:
         state, job = self._state, run.task.job
         if run.started_ms < 0 or run.ordered_ms < 0:
-            return  # it never ran, or an earlier dispatcher ordered it
+            return  # the run never started, or an earlier dispatcher ordered it
         state.timing.note(job, Phase.START, run.started_ms - run.ordered_ms)
         phase = Phase.RUN if ending is Ending.DONE else Phase.RUN_LOST
         state.timing.note(job, phase, state.now_ms - run.started_ms)
@@ -104,13 +105,13 @@
         return failed >= max(step.occurrence.job.terms.max_attempts, 1)
 
     def fail_if_exhausted(self, task: Task) -> bool:
-        """Fail the job of a ready task that has no attempt left, as after a change of the configuration."""
+        """Fail the job of a ready task without attempts left, for example after a configuration change."""
         if not task.failed or not self._out_of_attempts(task.step, task):
             return False
         self.finish_job(task.job, JobState.FAILED)
         return True
 
-    # Once more
+    # Retries
 
     def _retry(self, run: Run, ending: Ending) -> None:
         task = run.task
@@ -123,7 +124,7 @@
         for other in left:
             self.runs.stop(other)
         if left or any(task.state is not TaskState.PLACED for task in step.tasks):
-            return  # the last one to close goes on from here
+            return  # continues when the last member closes
         delay = self._backoff(run, ending)
         for task in step.tasks:
             self._readiness.delay(task, delay)
@@ -143,7 +144,7 @@
             return 0
         return min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << min(task.consecutive_short_runs - 2, 10))
 
-    # Done
+    # Completion
 
     def _task_done(self, task: Task) -> None:
         step = task.step
@@ -197,7 +198,7 @@
     # Jobs
 
     def finish_job(self, job: Job, job_state: JobState) -> None:
-        """The job needs no more work: note that, and stop what is left of it once that is durable."""
+        """Record the end of the job, and stop its remaining runs once that is durable."""
         state = self._state
         was_active = job.state is JobState.ACTIVE
         left = self._close_occurrences(job)
--- a/flintfield/jobs/events.py
+++ b/flintfield/jobs/events.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told (events) and what it wants done (effects)."""
+"""Inputs (events) and outputs (effects) of the dispatcher."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Route(Protocol):
-    """What the dispatcher reads of a route of the configuration."""
+    """The fields of a configured route that the dispatcher uses."""
 
     @property
     def name(self) -> str: ...
@@ -32,7 +32,7 @@
 
 
 class Configuration(Protocol):
-    """What the dispatcher reads of a configuration."""
+    """The part of a configuration that the dispatcher uses."""
 
     @property
     def version(self) -> int: ...
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A client's call; exactly one `Answer` with the same number follows, at once or after a write."""
+    """A client's call; exactly one `Answer` with the same number follows, immediately or after a write."""
 
     call: int
     request: JobCall
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportArrived:
-    """An agent's report."""
+    """A report from an agent."""
 
     report: AgentReport
 
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The write with this number is durable at a majority; writes come back in order."""
+    """The write with this number is durable on a majority of replicas; writes are confirmed in order."""
 
     write: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; `wall_ms` is the common time of the core."""
+    """Periodic timer; `wall_ms` is the cluster time of the coordination core."""
 
     wall_ms: int
 
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer that call."""
+    """Answer a client's call."""
 
     call: int
     answer: JobAnswer
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Make these changes durable, all or none, after all earlier writes."""
+    """Make these changes durable atomically, after all earlier writes."""
 
     write: int
     changes: tuple[Change, ...]
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrders:
-    """Send this to the agent on that machine; may be lost with its connection."""
+    """Send orders to the agent on a machine; they may be lost with the connection."""
 
     machine: str
     orders: AgentOrders
--- a/flintfield/jobs/gangs.py
+++ b/flintfield/jobs/gangs.py
@@ -1,8 +1,8 @@
-"""Gangs: placed all at once or not at all, and given room after they have waited.
+"""Gang placement: all members are placed at once or none, with reservations after a wait.
 
-A gang that finds no room may reserve workers: they take no task that ranks behind it until it is placed
-or the reservation ends. Reservations are bounded in number and in time, so that a gang that can never fit
-stops nobody.
+A gang that finds no capacity may reserve workers: until it is placed or the reservation ends, they accept no
+task that ranks behind it. Reservations are limited in number and time, so that a gang that can never fit does
+not block other tasks.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from flintfield.jobs.states import TaskState
 from flintfield.placement.interface import Demand, Resources, Worker
 
-FORCE_AFTER_MS = 1_500  # after that workers with room are taken even if the policy would wait
+FORCE_AFTER_MS = 1_500  # after this wait the policy is overridden and any worker with capacity is used
 RESERVE_AFTER_MS = 1_500
-RESERVE_ALL_AFTER_MS = 4_000  # from then on it may have more than its share, for a short time
-RESERVATION_MS = 2_500  # a task that waits for 3 s beside idle workers counts as lost
-LONGEST_RESERVATION_MS = 8_000  # within its share: the rest of the service goes on
-RESERVATION_PAUSE_MS = 3_000  # between two reservations of one service
-RESERVED_SHARE = 0.5  # of a service's workers
+RESERVE_ALL_AFTER_MS = 4_000  # after this wait it may briefly exceed `RESERVED_SHARE`
+RESERVATION_MS = 2_500  # a task that waits for 3 s beside idle workers counts as lost, so this is shorter
+LONGEST_RESERVATION_MS = 8_000  # within `RESERVED_SHARE`: the rest of the service keeps working
+RESERVATION_PAUSE_MS = 3_000  # between two reservations in one service
+RESERVED_SHARE = 0.5  # of the workers of a service
 RETRY_MS = 300
 NEVER_MS = 1e9
-UNLIMITED_MEMBERS = 1 << 20  # members that ask for nothing
+UNLIMITED_MEMBERS = 1 << 20  # for members that request no resources
 
 
 class Gangs:
-    """Places gangs."""
+    """Places gangs and manages reservations."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness, ends: Ends) -> None:
         self._state = state
@@ -38,7 +38,7 @@
         self._ends = ends
 
     def place(self, queue: ServiceQueue, step: Step) -> int:
-        """Place all members, or none; how many were."""
+        """Place all members or none; returns the number placed."""
         if any(task.state is not TaskState.READY for task in step.tasks):
             return 0
         if any(self._ends.fail_if_exhausted(task) for task in step.tasks if task.failed):
@@ -66,18 +66,18 @@
         return chosen
 
     def _first_fit(self, queue: ServiceQueue, demands: list[Demand]) -> list[Worker] | None:
-        """Workers with room for all members, trusted ones first, whatever the policy thinks of them."""
-        demand, now = demands[0], self._state.now_ms  # all members ask for the same
+        """Workers with capacity for all members, trusted ones first, ignoring the placement policy."""
+        demand, now = demands[0], self._state.now_ms  # all members have the same demand
         avoid = frozenset().union(*(each.avoid for each in demands))
-        able = [worker for worker in queue.workers.values() if can_place(worker, demand)]
-        able.sort(
+        eligible = [worker for worker in queue.workers.values() if can_place(worker, demand)]
+        eligible.sort(
             key=lambda worker: (
                 worker.instance in avoid,
                 not self._state.placement.trusted(worker.instance, now),
             )
         )
         chosen: list[Worker] = []
-        for worker in able:
+        for worker in eligible:
             free = worker.capacity.minus(worker.used)
             places = _members_that_fit(free, demand, worker.held.get(demand.group, 0))
             chosen += [worker] * min(places, len(demands) - len(chosen))
@@ -96,7 +96,7 @@
     # Reservations
 
     def hide_reserved(self, queue: ServiceQueue, step: Step) -> None:
-        """Hide reserved workers from a step that ranks behind their holder, until `give_back`."""
+        """Hide reserved workers from a step that ranks behind the holder, until `unhide_reserved`."""
         if not queue.reserved or queue.hidden_workers:
             return
         if self._state.now_ms >= queue.reserved_until_ms:
@@ -111,13 +111,13 @@
             worker.ready = False
 
     def unhide_reserved(self, queue: ServiceQueue) -> None:
-        """The pass is over."""
+        """Show the hidden workers again after a pass."""
         for worker in queue.hidden_workers:
             worker.ready = True
         queue.hidden_workers = []
 
     def reserve(self, queue: ServiceQueue, step: Step) -> None:
-        """Keep workers for a step that has waited, be it a gang or a task larger than what becomes free."""
+        """Reserve workers for a step that has waited: a gang, or a task larger than any free capacity."""
         now = self._state.now_ms
         waited = now - step.ready_since_ms
         if (
@@ -133,23 +133,23 @@
         wanted, free_in_ms = self._soonest_free_workers(queue, step, max(most, 1))
         if wanted:
             queue.reserved = {worker.instance: step for worker in wanted}
-            few = len(wanted) <= len(queue.workers) * RESERVED_SHARE
-            longest = LONGEST_RESERVATION_MS if few else RESERVATION_MS
+            within_share = len(wanted) <= len(queue.workers) * RESERVED_SHARE
+            longest = LONGEST_RESERVATION_MS if within_share else RESERVATION_MS
             queue.reserved_until_ms = now + int(min(max(RESERVATION_MS, free_in_ms * 1.5), longest))
 
     def _soonest_free_workers(
         self, queue: ServiceQueue, step: Step, most: float
     ) -> tuple[list[Worker], float]:
-        """The workers that are free soonest for the whole step, and in how many ms; none if too many."""
+        """The workers that can host the whole step soonest, and in how many ms; none if it needs too many."""
         demand = demand_of(next(iter(step.ready.values())))
-        able = [
+        eligible = [
             (self._free_in_ms(worker, demand), worker.instance, worker)
             for worker in queue.workers.values()
             if _could_place_when_empty(worker, demand)
         ]
         taken: list[Worker] = []
         members = len(step.tasks) if step.spec.gang else 1
-        for free_in_ms, _, worker in sorted(able, key=lambda each: each[:2]):
+        for free_in_ms, _, worker in sorted(eligible, key=lambda each: each[:2]):
             taken.append(worker)
             members -= _members_that_fit(worker.capacity, demand)
             if len(taken) > most:
@@ -159,11 +159,11 @@
         return [], 0.0
 
     def _free_in_ms(self, worker: Worker, demand: Demand) -> float:
-        """When it is likely to have room for one such task more."""
+        """Expected time until the worker has capacity for one more such task."""
         if has_room(worker, demand):
             return 0.0
-        there = self._state.workers[worker.instance].runs.values()
-        runs = sorted(((self._left_ms(run), run.resources) for run in there), key=lambda each: each[0])
+        runs_there = self._state.workers[worker.instance].runs.values()
+        runs = sorted(((self._left_ms(run), run.resources) for run in runs_there), key=lambda each: each[0])
         free = worker.capacity.minus(worker.used)
         for left, resources in runs:
             free = free.plus(resources)
@@ -177,7 +177,7 @@
         return left_ms(run, self._state.now_ms, self._state.paces.usual(run.task.job.route))
 
     def end_reservation(self, queue: ServiceQueue, step: Step) -> None:
-        """The step has been placed."""
+        """Release the step's reservation after its placement."""
         if queue.reserved and step in queue.reserved.values():
             queue.reserved.clear()
             queue.reserved_until_ms = self._state.now_ms
@@ -193,15 +193,17 @@
 
 
 def _members_that_fit(room: Resources, demand: Demand, held: int = 0) -> int:
-    """How many members that room holds, on a worker that holds so many tasks of the step already."""
+    """Number of members that fit into `room` on a worker that already has `held` tasks of the step."""
     asked = demand.resources
     pairs = ((room.cpu, asked.cpu), (room.memory_mb, asked.memory_mb), (room.gpu, asked.gpu))
-    fits = min((there // each for there, each in pairs if each), default=UNLIMITED_MEMBERS)
+    fits = min(
+        (available // required for available, required in pairs if required), default=UNLIMITED_MEMBERS
+    )
     return min(fits, demand.at_most - held) if demand.at_most else fits
 
 
 def _can_place_all(demands: list[Demand], chosen: list[Worker]) -> bool:
-    """Whether the rules allow all members on these workers together."""
+    """Whether all members may be placed on these workers together."""
     if len(chosen) != len(demands):
         return False
     added: dict[str, int] = {}
@@ -209,7 +211,7 @@
         if not can_place(worker, demand):
             return False
         added[worker.instance] = added.get(worker.instance, 0) + 1
-    demand = demands[0]  # all members ask for the same
+    demand = demands[0]  # all members have the same demand
     for worker in chosen:
         count = added[worker.instance]
         asked = demand.resources
--- a/flintfield/jobs/intake.py
+++ b/flintfield/jobs/intake.py
@@ -1,9 +1,8 @@
-"""Clients' calls: submit, status, cancel, count.
+"""Handles clients' calls: submit, status, cancel, count.
 
-A call is answered by what is durable. A job that is known keeps being itself: the same id sent again is
-answered as the first time, whatever became of the job. A refused id leaves nothing behind. A cancel of an
-unknown id leaves a mark, so that a copy of the submission that is still under way does not start after
-the client was told 410.
+Answers reflect durable state only. Submission is idempotent: a repeated id is answered like the first time,
+whatever the job's current state. A rejected id leaves no record. The cancel of an unknown id is recorded, so
+that a delayed submission of it does not start after the client received 410.
 """
 
 from __future__ import annotations
@@ -38,12 +37,12 @@
 
 
 def terms_of(route: Route) -> Terms:
-    """What the configuration says of this queue."""
+    """The terms of a configured queue."""
     return Terms(route.service, route.priority, route.max_attempts, route.extension, route.target_latency_ms)
 
 
 class Intake:
-    """Answers calls."""
+    """Answers clients' calls."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness, ends: Ends) -> None:
         self._state = state
@@ -51,7 +50,7 @@
         self._ends = ends
 
     def call(self, event: CallArrived) -> None:
-        """Take in a call; its `Answer` is emitted now or after a write."""
+        """Process a call; its `Answer` is emitted immediately or after a write."""
         request = event.request
         match request.method:
             case Method.SUBMIT:
@@ -68,7 +67,7 @@
         self._answer(call, 503, _reason("no configuration yet"), self._state.bounds.unready_retry_ms)
 
     def _job_id(self, request: JobCall) -> str:
-        """The id in the path, or ""; also where the queue is not configured any more."""
+        """The job id in the path, or ""; also works if the queue is no longer configured."""
         configuration = self._state.configuration
         route = configuration.find_route(request.host, request.path) if configuration is not None else None
         if route is not None:
@@ -100,7 +99,7 @@
             self._submit_known(call, known)
 
     def _submit_known(self, call: int, job: Job) -> None:
-        if not job.submitted:  # a cancel has overtaken it: it is kept as cancelled, and never runs
+        if not job.submitted:  # cancelled before its submission: it stays cancelled and never runs
             job.submitted = True
             self._state.put(durable.end_key(job.id), encode(_end_record(job)))
         self._state.after_write(partial(self._answer, call, 200))
@@ -195,7 +194,7 @@
         state.after_write(partial(self._answer, call, status, b"{}"))
 
     def _mark_cancelled(self, job_id: str) -> None:
-        """Leave a mark that the unknown id was cancelled, if there is room for it."""
+        """Record that an unknown id was cancelled, if the table has room."""
         state = self._state
         if len(state.jobs) >= state.bounds.max_jobs:
             return
@@ -209,7 +208,7 @@
     # Configuration
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration: jobs keep their queue's name and follow what is now said of it."""
+        """Apply a newer configuration: jobs keep their queue and adopt its new terms."""
         state = self._state
         state.configuration = configuration
         by_name = {route.name: terms_of(route) for route in configuration.routes}
--- a/flintfield/jobs/listings.py
+++ b/flintfield/jobs/listings.py
@@ -1,8 +1,8 @@
-"""What a worker lists: the ends of runs, the runs that go on, and what is missing from both lists.
+"""Processes a worker's listing: ended runs, running runs, and runs that are missing from both lists.
 
-Ends are written before `last_seen` moves past them. A run that is in neither list has vanished if its order
-was answered early enough before the listing was asked for, or is of an older epoch than the one the worker is
-fenced by; both counted with the time that a stop may take.
+Ends are durable before `last_seen` advances past them. A run in neither list has vanished if its order was
+answered early enough before the listing was requested, or if it was placed in an older epoch than the one the
+worker is fenced by. Both checks allow for the time that a stop may take.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.jobs.worker_record import WorkerRecord
 
-LISTED_AT_ONCE = 500  # a listing with so many ends may leave out more
-EXAMINE_MS = 300  # progress is looked at no more often
-DONE_RUN_MS = 1_500  # a run of a task that is done ends by itself within that, or is stopped
+LISTED_AT_ONCE = 500  # a listing with this many ends may be incomplete
+EXAMINE_MS = 300  # shortest interval between two checks of progress
+DONE_RUN_MS = 1_500  # a run of a task that is done is stopped if it does not end by itself within this time
 
 _ENDINGS = {
     How.DONE: Ending.DONE,
@@ -34,7 +34,7 @@
 
 
 class Listings:
-    """Takes in the lists of a report."""
+    """Processes the lists of a report."""
 
     def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
         self._state = state
@@ -42,12 +42,12 @@
         self._moves = moves
 
     def take_in(self, record: WorkerRecord, report: AgentReport) -> None:
-        """Take in both lists: the ends first, as a run that has ended is listed as running no more."""
+        """Process both lists; ends come first, as an ended run is no longer listed as running."""
         self._take_in_ends(record, report.finished)
         self._take_in_listing(record, report)
 
     def _take_in_ends(self, record: WorkerRecord, finished: tuple[End, ...]) -> None:
-        """Take in every end that is told; `last_seen` follows only up to the first one that is missing."""
+        """Process all reported ends; `last_seen` advances only up to the first gap in their numbers."""
         contiguous_up_to = None
         for end in sorted(finished, key=lambda each: each.number):
             if end.number > record.taken_in:
@@ -61,7 +61,7 @@
     def _take_in_end(self, record: WorkerRecord, end: End) -> None:
         run = record.runs.get((end.task, end.run))
         if run is None or run.state is RunState.PLACING:
-            return  # released before, or of a job that is forgotten
+            return  # already released, or its job is forgotten
         if end.how is How.DONE:
             self._state.service(record.worker.service).progress[record.instance] = self._state.now_ms
         self._ends.resolve(run, _ENDINGS[end.how], end.saved)
@@ -118,7 +118,7 @@
         return now - task.done_ms > DONE_RUN_MS
 
     def _not_listed(self, record: WorkerRecord, run: Run, report: AgentReport) -> None:
-        """The worker lists the run neither as running nor as ended."""
+        """Handle a run that the worker lists neither as running nor as ended."""
         settled = report.listing_stamp - self._state.bounds.settle_ms
         fenced = report.fenced_epoch == self._state.epoch
         if fenced and run.answered_stamp is not None and settled >= run.answered_stamp:
--- a/flintfield/jobs/messages.py
+++ b/flintfield/jobs/messages.py
@@ -1,9 +1,9 @@
-"""What schedulers, the dispatcher and the agents say to each other about jobs.
+"""Messages about jobs between schedulers, the dispatcher and the agents.
 
-The dispatcher is the one scheduler that acts for the whole cluster, fenced by its epoch. A scheduler passes a
-client's call on to it as a `JobCall`. An agent opens a connection to the dispatcher and sends `AgentReport`;
-the dispatcher sends `AgentOrders` on the same connection. Times that are named stamps are milliseconds of the
-sender's own steady clock and mean nothing to anybody else.
+The dispatcher is the one scheduler that acts for the whole cluster, fenced by its epoch. The other schedulers
+forward clients' calls to it as `JobCall`. An agent opens a connection to the dispatcher and sends
+`AgentReport`; the dispatcher sends `AgentOrders` on the same connection. Stamps are milliseconds of the
+sender's own monotonic clock and are not comparable between machines.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Method(enum.IntEnum):
-    """What a client asks for."""
+    """The operation that a client requests."""
 
     SUBMIT = 1
     STATUS = 2
@@ -26,10 +26,10 @@
 @record(100)
 @dataclass(frozen=True, slots=True)
 class JobCall:
-    """A client's call, as the scheduler that took it read it.
+    """A client's call, as parsed by the scheduler that received it.
 
-    `path` is the whole path; the dispatcher finds the queue by host and longest prefix. `version` is the
-    newest version of the configuration whose effect this scheduler has shown: the dispatcher answers by no
+    `path` is the full path; the dispatcher finds the queue by host and longest prefix. `version` is the
+    newest configuration version whose effect this scheduler has shown; the dispatcher must not answer by an
     older one.
     """
 
@@ -43,9 +43,9 @@
 @record(101)
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """The answer to a `JobCall`: an HTTP status, a JSON body, and when to come back in ms (0: not told).
+    """The answer to a `JobCall`: an HTTP status, a JSON body and the retry delay in ms (0: none).
 
-    `version` is the version of the configuration by which it was answered.
+    `version` is the configuration version that the answer is based on.
     """
 
     status: int
@@ -57,7 +57,7 @@
 @record(102)
 @dataclass(frozen=True, slots=True)
 class NotDispatcher:
-    """The process that was asked does not act; `leader` (address of its RPC listener, or "") may."""
+    """The process is not the dispatcher; `leader` is the RPC address of the likely one, or ""."""
 
     epoch: int
     leader: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A run that a worker lists: its newest saved text and its progress in percent."""
+    """A run listed as running: `saved` is its newest checkpoint, `percent` its progress."""
 
     task: str
     run: int
@@ -74,7 +74,7 @@
 
 
 class How(enum.IntEnum):
-    """How a run ended, as the worker tells it."""
+    """How a run ended, as reported by the worker."""
 
     DONE = 1
     FAILED = 2
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """An end that a worker lists; `number` rises from 1 within one incarnation of the worker."""
+    """An ended run listed by a worker; `number` counts from 1 within one incarnation of the worker."""
 
     number: int
     task: str
@@ -96,23 +96,23 @@
 
 
 class Outcome(enum.IntEnum):
-    """What became of an order at the worker."""
+    """Result of an order at the worker."""
 
-    DONE = 1  # 200: the run is there, or will never be there again
-    FENCE = 2  # 409 `fence`: a newer dispatcher has spoken to the worker
+    DONE = 1  # 200: the run exists (start), or can never exist again (stop)
+    FENCE = 2  # 409 `fence`: a newer dispatcher has already contacted the worker
     OLD = 3  # 409 `old`: this run or a later one has ended or was stopped there
-    LATE = 4  # 409 `late`: the hold was over
-    ROOM = 5  # 409 `room`: the worker guards its capacity
-    DRAINING = 6  # the agent does not start anything on a worker that leaves
-    GONE = 7  # 421, or another incarnation is there: this one runs nothing any more
-    BUSY = 8  # 429 or 503: nothing was done
+    LATE = 4  # 409 `late`: the hold had expired
+    ROOM = 5  # 409 `room`: the worker has too little free capacity
+    DRAINING = 6  # the agent starts nothing on a draining worker
+    GONE = 7  # 421, or another incarnation has replaced this one, which runs nothing any more
+    BUSY = 8  # 429 or 503: the worker took no action
     BAD = 9  # 400
-    UNKNOWN = 10  # no answer after several tries: may have been done, or may yet be
+    UNKNOWN = 10  # no answer after several tries: it may have been carried out or may still be
 
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """What became of the order with this id; `stamp_ms` is when the answer came, by the agent's clock."""
+    """Result of the order with this id; `stamp_ms` is when the answer arrived, by the agent's clock."""
 
     order: int
     outcome: Outcome
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerState:
-    """A worker's own words, from its newest heartbeat (units as on the wire: thousandths of a core, MB)."""
+    """A worker's state from its newest heartbeat, in the units of the protocol (millicores, MB)."""
 
     instance: str
     service: str
@@ -140,15 +140,15 @@
 @record(103)
 @dataclass(frozen=True, slots=True)
 class AgentReport:
-    """What an agent knows of the worker beside it.
-
-    `machine` names the agent's machine, `boot` this life of its process. `worker` is None until a heartbeat
-    came, and after the worker deregistered. `fenced_epoch` is the highest epoch that this incarnation of
-    the worker answered to. `listing_stamp` is when the call was sent whose answer brought `running` and
-    `finished` (-1: none yet in this life, or of another incarnation). `finished` holds all ends that are
-    not yet forgotten. `silent_ms` is how long ago the worker last answered a call. `lapsed` tells that
-    everything held there is over for certain: the longest hold that was ever granted has run out by the
-    slowest clock allowed.
+    """An agent's report about the worker on its machine.
+
+    `machine` names the agent's machine, and `boot` identifies the agent's process since its last restart.
+    `worker` is None until the first heartbeat and after the worker deregisters. `fenced_epoch` is the highest
+    epoch that this incarnation of the worker has answered to. `listing_stamp` is when the call that returned
+    `running` and `finished` was sent (-1: none since the agent's restart, or it was of another incarnation).
+    `finished` holds all ends that are not forgotten yet. `silent_ms` is the time since the worker last
+    answered a call. `lapsed` means that no run is left there for certain: the longest hold ever granted has
+    expired even by the slowest clock allowed.
     """
 
     machine: str
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start this run; repeating it is harmless."""
+    """Start a run; idempotent."""
 
     order: int
     task: str
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop this run, or see to it that it can never start; repeating it is harmless."""
+    """Stop a run, or prevent it from ever starting; idempotent."""
 
     order: int
     task: str
@@ -188,12 +188,12 @@
 @record(104)
 @dataclass(frozen=True, slots=True)
 class AgentOrders:
-    """What the dispatcher of `epoch` wants done at the incarnation `instance`.
+    """Orders of the dispatcher of `epoch` for the worker incarnation `instance`.
 
-    `echo_stamp` is the stamp of the newest report that the dispatcher has taken in; the worker may be held
-    until `hold_ms` after it by the agent's clock, and no longer. Ends up to `last_seen` are durable and may
-    be forgotten. The agent obeys the highest epoch that it has seen and ignores all lower ones.
-    `patience_ms` is how late the dispatcher may learn of an end there without loss (0: not told).
+    `echo_stamp` is the stamp of the newest report that was granted a hold; the worker may be held until
+    `hold_ms` after it by the agent's clock, and no longer. Ends up to `last_seen` are durable and may be
+    forgotten. The agent obeys the highest epoch that it has seen and ignores lower ones. `patience_ms` is the
+    delay with which ends may be reported without loss (0: not set).
     """
 
     epoch: int
--- a/flintfield/jobs/model.py
+++ b/flintfield/jobs/model.py
@@ -1,8 +1,8 @@
-"""Jobs, occurrences, steps, tasks and runs: their states, and one function for every change of state.
+"""Jobs, occurrences, steps, tasks and runs, with one method for every state transition.
 
-A job has one occurrence, or one for each of its times. An occurrence has the job's steps, a step its
-tasks, a task its runs. A task outlives its runs, and a run outlives its job where it may still hold
-capacity on a worker.
+A job has one occurrence, or one per scheduled time. An occurrence contains the job's steps, a step its tasks,
+a task its runs. A task outlives its runs. A run outlives its job while it may still occupy capacity on a
+worker.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One start of a task on one worker. Its resources count there until it is `CLOSED`."""
+    """One execution of a task on one worker. It occupies capacity there until it is `CLOSED`."""
 
     task: Task
     number: int
@@ -39,17 +39,17 @@
     checkpoint: str
     placed_ms: int
     state: RunState = RunState.PLACING
-    order: int = 0  # the newest order for it
-    answered_stamp: int | None = None  # agent's stamp from which on a listing shows the order's whole effect
+    order: int = 0  # number of the newest order for it
+    answered_stamp: int | None = None  # agent's stamp from which listings show the order's full effect
     stop_answered: bool = False
     ordered_ms: int = -1  # when its start order was first sent
     started_ms: int = -1  # when its start was answered, or it was first seen running
-    first_seen_ms: int = -1  # when it was first seen running
+    first_seen_ms: int = -1  # when it was first listed as running
     percent: int = 0
-    first_percent: int = 0  # when it was first seen
-    percent_at_ms: int = -1  # when the percentage last moved
-    duration_factor: float = 1.0  # how many times as long it takes there, away from its data or its step
-    suspect: bool = False  # it was stopped for standing still or being slow
+    first_percent: int = 0  # progress when it was first listed
+    percent_at_ms: int = -1  # when `percent` last changed
+    duration_factor: float = 1.0  # above 1 if it runs away from its data or from its step's other tasks
+    suspect: bool = False  # it was stopped because it stalled or was slow
 
     @property
     def name(self) -> str:
@@ -57,7 +57,7 @@
         return self.task.name
 
     def order_sent(self, order: int, now_ms: int) -> None:
-        """Its start order may leave."""
+        """Record that its start order is being sent."""
         if self.ordered_ms < 0:
             self.ordered_ms = now_ms
         if self.state is not RunState.ORDERED:
@@ -66,13 +66,13 @@
         self.answered_stamp = None
 
     def order_answered(self, stamp_ms: int, now_ms: int) -> None:
-        """Its newest order was carried out; listings asked for from that stamp of the agent on show it."""
+        """Record that its newest order was carried out; listings requested from `stamp_ms` on show it."""
         self.answered_stamp = stamp_ms
         if self.started_ms < 0:
             self.started_ms = self.percent_at_ms = now_ms
 
     def seen_running(self, now_ms: int, percent: int) -> None:
-        """A listing names it as running."""
+        """Record that a listing shows it as running."""
         if self.state in (RunState.ORDERED, RunState.INHERITED):
             self._change(RunState.RUNNING)
         if self.started_ms < 0:
@@ -85,14 +85,14 @@
             self.percent_at_ms = now_ms
 
     def stop_ordered(self, order: int) -> None:
-        """A stop order leaves, perhaps once more."""
+        """Record that a stop order is being sent, possibly again."""
         if self.state is not RunState.STOPPING:
             self._change(RunState.STOPPING)
         self.order = order
         self.answered_stamp = None
 
     def close(self) -> None:
-        """Nothing of it is left on the worker."""
+        """Record that it no longer occupies the worker."""
         self._change(RunState.CLOSED)
 
     def _change(self, new: RunState) -> None:
@@ -114,33 +114,33 @@
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
     avoid: frozenset[str] = frozenset()  # instances where earlier runs failed, stalled or were lost
-    moves: int = 0  # stops for standing still or being slow
-    preempted: int = 0  # stops for a smaller priority number
-    consecutive_short_runs: int = 0  # of a lasting task in a row
-    ready_ms: int = -1  # when its turn came last
-    done_ms: int = -1  # when a listing first showed a run of it although it is done
-    recorded: bool = False  # the store holds its record
+    moves: int = 0  # times that it was stopped because it stalled or was slow
+    preempted: int = 0  # times that it was stopped for a step with a smaller priority number
+    consecutive_short_runs: int = 0  # of a long-running task; they increase the backoff
+    ready_ms: int = -1  # when it last became ready
+    done_ms: int = -1  # when a listing first showed a run of the task after it was done
+    recorded: bool = False  # whether the store holds a record of it
 
     @property
     def job(self) -> Job:
-        """The job it belongs to."""
+        """The job that the task belongs to."""
         return self.step.occurrence.job
 
     def become_ready(self) -> None:
-        """Its turn has come."""
+        """The task may be placed."""
         self._change(TaskState.READY)
 
     def become_delayed(self) -> None:
-        """It backs off before its next run."""
+        """The task waits for a backoff before its next run."""
         self._change(TaskState.DELAYED)
 
     def become_placed(self) -> None:
-        """A run of it may be somewhere."""
+        """A run of the task may exist on a worker."""
         if self.state is not TaskState.PLACED:
             self._change(TaskState.PLACED)
 
     def become_done(self) -> None:
-        """A run of it, or of its gang, has ended `done`."""
+        """A run of the task or of its gang has ended `done`."""
         self._change(TaskState.DONE)
 
     def _change(self, new: TaskState) -> None:
@@ -151,7 +151,7 @@
 
 @dataclass(slots=True, eq=False)
 class Step:
-    """One step of an occurrence. `ready` are the tasks whose turn has come, by index."""
+    """One step of an occurrence. `ready` holds the tasks that may be placed, by index."""
 
     occurrence: Occurrence
     index: int
@@ -159,50 +159,50 @@
     left: int
     earlier_left: int
     rank: float = 0.0
-    serial: int = 0  # tells steps of the same rank apart: the one that was ranked first goes first
+    serial: int = 0  # tie-breaker between steps of the same rank: the one ranked first goes first
     tasks: list[Task] = field(default_factory=list)
     ready: dict[int, Task] = field(default_factory=dict)
     ready_since_ms: int = -1
-    waiting_since_ms: int = -1  # up to then, the waiting of its ready tasks is accounted for
-    wait_cause: WaitCause = WaitCause.PASS  # what the last pass over the queue found
-    preempted_ms: int = -1_000_000  # when runs were last stopped for it
-    queued_in: str | None = None  # the service whose queue holds it
-    members: Counter[int] = field(default_factory=Counter)  # open runs by number; a gang's share theirs
+    waiting_since_ms: int = -1  # the waiting time of its ready tasks is recorded up to here
+    wait_cause: WaitCause = WaitCause.PASS  # as found by the last pass over the queue
+    preempted_ms: int = -1_000_000  # when runs were last preempted for it
+    queued_in: str | None = None  # the service in whose queue it waits
+    members: Counter[int] = field(default_factory=Counter)  # open runs by number; gang members share one
 
     @property
     def group(self) -> tuple[str, int, int]:
-        """(job, time, step): what anti-affinity counts by."""
+        """(job, occurrence, step): the key by which anti-affinity counts tasks."""
         return (self.occurrence.job.id, self.occurrence.number, self.index)
 
     @property
     def resources(self) -> Resources:
-        """What each of its tasks asks for."""
+        """The resources requested by each task."""
         return Resources(self.spec.cpu, self.spec.mem_mb, self.spec.gpu)
 
     def failed_runs(self) -> int:
-        """How many runs of the gang have failed: a run counts once, however many members say so."""
+        """Number of failed runs of the gang: a run counts once, no matter how many members failed."""
         return len({number for task in self.tasks for number in task.failed})
 
     def run_opened(self, run: Run) -> None:
-        """A run of one of its tasks may be somewhere from now on."""
+        """Add a run of one of its tasks that may exist from now on."""
         run.task.runs.append(run)
         self.members[run.number] += 1
 
     def run_closed(self, run: Run) -> None:
-        """The run is over for certain."""
+        """Remove a run that has certainly ended."""
         run.task.runs.remove(run)
         self.members[run.number] -= 1
         if not self.members[run.number]:
             del self.members[run.number]
 
     def open_runs(self) -> list[Run]:
-        """Runs of its tasks that may still be there."""
+        """Runs of its tasks that may still exist."""
         return [run for task in self.tasks for run in task.runs]
 
 
 @dataclass(slots=True, eq=False)
 class Occurrence:
-    """One time K of a job (0 where there are no times)."""
+    """The occurrence K of a job (0 for a job without a schedule)."""
 
     job: Job
     number: int
@@ -223,9 +223,9 @@
     body: bytes
     spec: JobSpec | None  # None once it has ended
     state: JobState = JobState.ACCEPTING
-    shown: JobState = JobState.ACCEPTING  # as far as it is durable: what clients are told
+    shown: JobState = JobState.ACCEPTING  # the durable state, which is shown to clients
     submitted: bool = True
-    kept_bytes: int = 0  # what it may take in the store until it has ended
+    kept_bytes: int = 0  # upper bound of its size in the store until it has ended
     started: bool = False
     chain: list[int] = field(default_factory=list)
     open: dict[int, Occurrence] = field(default_factory=dict)
@@ -234,8 +234,8 @@
     done_above: set[int] = field(default_factory=set)
     ended_wall_ms: int = 0
     accepted: list[Callable[[], None]] = field(default_factory=list)  # to be called once it is durable
-    history: object | None = None  # the recorder's notes on it, which end with the job
-    times: object | None = None  # where its time went, for the newest jobs (`flintfield.jobs.timing`)
+    history: object | None = None  # the recorder's entries about it, dropped with the job
+    times: object | None = None  # its phase times, kept for the newest jobs (`flintfield.jobs.timing`)
 
     def __post_init__(self) -> None:
         if self.spec is not None:
@@ -243,16 +243,16 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it needs no more work."""
+        """Whether the job has ended."""
         return self.state in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
     def become_active(self) -> None:
-        """Its acceptance is durable."""
+        """Record that its acceptance is durable."""
         self._change(JobState.ACTIVE)
         self.shown = JobState.ACTIVE
 
     def end(self, state: JobState, wall_ms: int) -> None:
-        """It has ended; clients are told once that is durable (`show_end`)."""
+        """End the job; clients see the end once it is durable (`show_end`)."""
         self._change(state)
         self.ended_wall_ms = wall_ms
         self.open = {}
@@ -260,11 +260,11 @@
         self.body = b""
 
     def show_end(self) -> None:
-        """Its end is durable."""
+        """Record that its end is durable."""
         self.shown = self.state
 
     def occurrence_done(self, number: int) -> None:
-        """All tasks of that time have ended `done`."""
+        """Record that all tasks of an occurrence are done."""
         self.open.pop(number, None)
         self.done_above.add(number)
         while self.done_below in self.done_above:
@@ -272,7 +272,7 @@
             self.done_below += 1
 
     def is_done(self, number: int) -> bool:
-        """Whether that time is done."""
+        """Whether an occurrence is done."""
         return number < self.done_below or number in self.done_above
 
     def _change(self, new: JobState) -> None:
--- a/flintfield/jobs/moves.py
+++ b/flintfield/jobs/moves.py
@@ -1,7 +1,7 @@
-"""Stopping a run in order to place its task elsewhere: stalled runs, slow workers, workers that leave.
+"""Moves tasks to other workers by stopping their runs: stalled runs, slow workers, draining workers.
 
-A stop keeps the newest checkpoint. All such stops are bounded by task and by time, so that a bad day on which
-everything stands still does not become one on which everything is moved.
+A stop keeps the newest checkpoint. Moves of stalled and slow runs are limited per task and per second, so
+that a stall of the whole cluster does not cause every task to be moved.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 MAX_MOVES = 3  # of one task
 COMPLETE_PERCENT = 100  # percent
-STALL_MS = 1_500  # a percentage that stands still for less says nothing
-STALL_SHARE = 0.3  # of the estimate
-RECENT_PROGRESS_MS = 6_000  # elsewhere in the service, so that the fault is not ours
-SLOW_WORKER = 2.5  # times as slow as usual
+STALL_MS = 1_500  # a shorter time without progress is not significant
+STALL_SHARE = 0.3  # of the estimate, if that is longer
+RECENT_PROGRESS_MS = 6_000  # progress of other workers in the service rules out a fault of the system itself
+SLOW_WORKER = 2.5  # slowness of a worker, as a multiple of the usual
 SLOW_RUN = 2.0
-MOVE_COST_MS = 600  # stop, placement, start, restore
-MAX_MOVED_TIME_SHARE = 0.6  # a move must save the rest of this share of the time that is left
+MOVE_COST_MS = 600  # time for stop, placement, start and restore
+MAX_MOVED_TIME_SHARE = 0.6  # longest time after a move, as a share of the remaining time without it
 MOVES_PER_SECOND = 4.0
 MAX_MOVE_BURST = 8.0
-LEAVE_MARGIN_MS = 500  # before a worker may leave: time for a stop and its end
+LEAVE_MARGIN_MS = 500  # time for a stop and its end before the worker leaves
 FORCED_STOP_MS = 1_200
 
 
 class Moves:
-    """Watches runs and draining workers."""
+    """Moves runs off stalled, slow and draining workers."""
 
     def __init__(self, state: DispatcherState, ends: Ends) -> None:
         self._state = state
@@ -41,7 +41,7 @@
     # Stalls and slow workers
 
     def check(self, record: WorkerRecord, run: Run) -> None:
-        """A listing shows the run; move it if it stands still or is far too slow where it is."""
+        """Check a listed run, and move it if it has stalled or is far too slow on its worker."""
         if run.task.step.spec.long_running or run.state is not RunState.RUNNING:
             return
         self._update_pace(record, run)
@@ -113,10 +113,10 @@
             for name, worker in workers.items()
         )
 
-    # Workers that leave
+    # Draining workers
 
     def evacuate(self, record: WorkerRecord) -> None:
-        """Stop what can't end before the draining worker may leave, as soon as it is better off elsewhere."""
+        """Stop runs that can't end before the draining worker leaves, once another worker has room."""
         now = self._state.now_ms
         time_left = record.leaves_ms - now
         for run in list(record.runs.values()):
@@ -134,7 +134,7 @@
 
 
 def _waits_for_gang(run: Run) -> bool:
-    """Whether it is through and others aren't: a gang ends as a whole, so the first ones stand at the end."""
+    """Whether the run is complete but other members aren't: a gang ends as a whole, so it stays at 100 %."""
     if not run.task.step.spec.gang or run.percent < COMPLETE_PERCENT:
         return False
     return any(
--- a/flintfield/jobs/occurrences.py
+++ b/flintfield/jobs/occurrences.py
@@ -1,4 +1,4 @@
-"""Opening a time of a job, and whether a gang is whole."""
+"""Opens occurrences of jobs and checks whether gangs are complete."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def open_occurrence(job: Job, number: int) -> Occurrence:
-    """The occurrence of an active job, with all its steps and tasks in their first state."""
+    """Create an occurrence of an active job, with all its steps and tasks in their initial state."""
     spec = job.spec
     if spec is None:
         raise IllegalChange(f"job {job.id} has ended")
@@ -23,7 +23,7 @@
 
 
 def gang_is_whole(step: Step, number: int) -> bool:
-    """Whether every member of the gang has that run, or the step is done; True for a step that is no gang."""
+    """Whether every gang member has this run, or the step is done; True for a step that is not a gang."""
     if not step.spec.gang or step.left == 0:
         return True
     return step.members[number] == len(step.tasks)
--- a/flintfield/jobs/orders.py
+++ b/flintfield/jobs/orders.py
@@ -1,4 +1,4 @@
-"""Answers to orders, and the repetition of orders without one."""
+"""Processes the results of orders and repeats unanswered orders."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from flintfield.jobs.states import RunState
 from flintfield.jobs.worker_record import PendingOrder, WorkerRecord
 
-REPEAT_MS = 3_000  # an order without an answer is sent again after that
-RETRY_MS = 500  # a stop that was not carried out is sent again after that
-REFUSAL_PAUSE_MS = 1_000  # a worker that refused is left alone so long (jitter on top)
+REPEAT_MS = 3_000  # an unanswered order is sent again after this time
+RETRY_MS = 500  # a stop that was not carried out is sent again after this time
+REFUSAL_PAUSE_MS = 1_000  # no placements on a worker that refused an order for this time, plus jitter
 
 _ANSWERED = (Outcome.DONE, Outcome.OLD)
 _NOTHING_DONE = (Outcome.LATE, Outcome.ROOM, Outcome.DRAINING, Outcome.BUSY)
@@ -21,7 +21,7 @@
 
 
 class Orders:
-    """What becomes of orders. `gone` is told of incarnations that are there no more."""
+    """Handles order results. `gone` is called for incarnations that no longer exist."""
 
     def __init__(
         self, state: DispatcherState, runs: Runs, resolve: Resolve, gone: Callable[[WorkerRecord], None]
@@ -32,7 +32,7 @@
         self._on_gone = gone
 
     def results(self, record: WorkerRecord, results: tuple[OrderResult, ...]) -> None:
-        """Take in what became of orders."""
+        """Process the results of orders."""
         for result in results:
             pending = record.orders.get(result.order)
             if pending is not None:
@@ -42,7 +42,7 @@
         if result.outcome is Outcome.GONE:
             self._on_gone(record)
         elif result.outcome is Outcome.FENCE:
-            pending.sent_ms = self._state.now_ms  # a successor acts, or the answer was for a predecessor
+            pending.sent_ms = self._state.now_ms  # a successor acts, or it answers a predecessor's order
         elif pending.run is None:
             self._stray_stop_result(record, pending, result)
         elif result.outcome in _ANSWERED:
@@ -55,7 +55,7 @@
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
 
     def _stray_stop_result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
-        """A stop of a run that is in no table: carried out, or to be repeated."""
+        """Handle the result of a stop of a run that is in no table: finish it, or repeat the stop."""
         if result.outcome not in _ANSWERED:
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
             return
@@ -64,7 +64,7 @@
             del record.barred[key]
 
     def _not_started(self, record: WorkerRecord, pending: PendingOrder, run: Run, outcome: Outcome) -> None:
-        """Nothing was done; where an earlier try may yet be carried out, the run is barred first."""
+        """Handle a start that was not carried out; if an earlier try still may be, stop the run first."""
         self._pause_worker(record, outcome)
         if outcome in _NOTHING_DONE and pending.boot == record.boot and run.state is RunState.ORDERED:
             self._resolve(run, Ending.REFUSED, "")
@@ -79,13 +79,13 @@
     # Repetition
 
     def repeat_all(self, record: WorkerRecord) -> None:
-        """A new connection, or a new life of the agent: what was sent before may be lost."""
+        """Resend all orders after a reconnect or restart of the agent, as earlier ones may be lost."""
         record.unsent_starts, record.unsent_stops = [], []
         for pending in record.orders.values():
             self._send(record, pending)
 
     def repeat_late(self, record: WorkerRecord) -> None:
-        """Send again what has had no answer for long."""
+        """Resend orders that have been unanswered for too long."""
         for pending in record.orders.values():
             if self._state.now_ms - pending.sent_ms >= REPEAT_MS:
                 self._send(record, pending)
--- a/flintfield/jobs/patience.py
+++ b/flintfield/jobs/patience.py
@@ -1,9 +1,9 @@
-"""How late the end of a run may be learned without loss, by worker.
+"""Computes per worker the delay with which the ends of its runs may be reported without loss (patience).
 
-Each look at a worker is priced, and an end that is learned late delays what depends on it. What is observed:
-the time that each run's step still has until its job misses its objective (or, once that is missed, until it
-earns nothing any more), and whether tasks wait for room. A part of the shortest of these times is the
-worker's patience; it is told with every answer to a report, so it follows within a report's period.
+Each poll of a worker has a cost, and an end that is reported late delays the work that depends on it. The
+patience is a share of the shortest slack of the worker's runs: the time until the job misses its objective
+or, after that, until it earns nothing any more. It is short if tasks wait for room. It is sent with every
+answer to a report, so the agent receives changes within one report period.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from flintfield.jobs.model import Run
 from flintfield.jobs.ranks import PRIORITY_GAP_MS
 
-SLACK_SHARE = 0.3  # of the time that is left until the objective is missed
+SLACK_SHARE = 0.3  # of the slack
 MIN_PATIENCE_MS = 10
 MAX_PATIENCE_MS = 1_000
-ROOM_WAIT_PATIENCE_MS = 30  # where tasks wait for the room that an end makes
-LATE_LIMIT_FACTOR = 3.0  # times the objective: a job that is later than that earns nothing any more
+ROOM_WAIT_PATIENCE_MS = 30  # while tasks wait for capacity on the worker
+LATE_LIMIT_FACTOR = 3.0  # multiple of the objective after which a job earns nothing any more
 
 
 def patience_ms(runs: Iterable[Run], tasks_wait: bool, paces: Paces, now_ms: int, wall_ms: int) -> int:
-    """For a worker with these runs; `tasks_wait` tells whether tasks wait for room there."""
+    """The patience of a worker with these runs; `tasks_wait`: whether tasks wait for capacity there."""
     shortest = float(ROOM_WAIT_PATIENCE_MS if tasks_wait else MAX_PATIENCE_MS)
     for run in runs:
         slack = _slack_ms(run, paces, now_ms, wall_ms)
@@ -34,7 +34,7 @@
 
 
 def _slack_ms(run: Run, paces: Paces, now_ms: int, wall_ms: int) -> float | None:
-    """How much later than expected the run may end; None where nothing is lost any more, or it lasts."""
+    """How much later than expected the run may end; None if a delay costs nothing, or it is long-running."""
     step = run.task.step
     job = run.task.job
     if step.spec.long_running or job.ended or step.occurrence.finished:
--- a/flintfield/jobs/preemption.py
+++ b/flintfield/jobs/preemption.py
@@ -1,7 +1,8 @@
-"""Preemption: a ready step of a smaller priority number may have runs of larger numbers stopped.
+"""Preemption: runs may be stopped for a ready step with a smaller priority number.
 
-Only where it would otherwise begin too late for its objective, only as many as it needs, the cheapest first:
-runs that keep a checkpoint or last anyway, then the youngest. A task is preempted a bounded number of times.
+Preemption happens only if the step would otherwise start too late for its objective, and stops only as many
+runs as needed, the cheapest first: runs with checkpoints and long-running ones, then the youngest. A task is
+preempted a limited number of times.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.placement.interface import Demand, Resources, Worker
 
-PREEMPT_AHEAD_MS = 400  # before the latest start that meets the objective
-PREEMPT_INTERVAL_MS = 1_000  # between two preemptions for one step
-MAX_PREEMPTED = 2  # times for one task
-MAX_TASKS_PER_PREEMPTION = 8  # that a step that is no gang makes room for at once
-MAX_LOST_MS = 2_500  # of work that is not saved, by one victim
-GPU_CORES = 8  # a GPU counts as that many cores
+PREEMPT_AHEAD_MS = 400  # before the latest start time that meets the objective
+PREEMPT_INTERVAL_MS = 1_000  # shortest time between two preemptions for one step
+MAX_PREEMPTED = 2  # per task
+MAX_TASKS_PER_PREEMPTION = 8  # of a step that is not a gang
+MAX_LOST_MS = 2_500  # of unsaved work per victim
+GPU_CORES = 8  # one GPU counts as this many cores
 
 
 @dataclass(slots=True)
 class Room:
-    """A worker's room if some of its runs were stopped; those, and what they would lose (core-ms)."""
+    """Free capacity of a worker if the runs in `victims` are stopped."""
 
     worker: Worker
     free: Resources
@@ -36,14 +37,14 @@
 
 
 class Preemption:
-    """Makes room."""
+    """Stops runs to free capacity for late steps."""
 
     def __init__(self, state: DispatcherState, ends: Ends) -> None:
         self._state = state
         self._ends = ends
 
     def make_room(self, queue: ServiceQueue, step: Step) -> None:
-        """Stop what may be stopped for this step, if it is late and that gives it room."""
+        """Preempt runs for a step that is late, if that frees enough capacity for it."""
         state = self._state
         priority = step.occurrence.job.terms.priority
         latest_wall_ms = step.rank - priority * PRIORITY_GAP_MS
@@ -83,7 +84,7 @@
         return victims
 
     def _room(self, worker: Worker, demand: Demand) -> Room:
-        """What is free, and what will be in a moment: runs that are being stopped are nearly gone."""
+        """The free capacity of a worker, including that of runs that are already being stopped."""
         free = worker.capacity.minus(worker.used)
         for run in self._state.workers[worker.instance].runs.values():
             if run.state is RunState.STOPPING:
@@ -104,14 +105,14 @@
         return None if best is None else (best[1], best[2])
 
     def _cheapest_victims(self, room: Room, demand: Demand, step: Step) -> list[Run] | None:
-        """The cheapest runs there whose end gives room for one such task; None where there are not enough."""
+        """The cheapest runs whose end frees capacity for one such task; None if that is impossible."""
         free = room.free
         taken: list[Run] = []
         if demand.resources.fits(free):
             return taken
         runs = self._state.workers[room.worker.instance].runs.values()
-        able = [run for run in runs if run not in room.victims and self._may_stop(run, step)]
-        for run in sorted(able, key=self._work_lost):
+        candidates = [run for run in runs if run not in room.victims and self._may_stop(run, step)]
+        for run in sorted(candidates, key=self._work_lost):
             taken.append(run)
             free = free.plus(run.resources)
             if demand.resources.fits(free):
@@ -121,7 +122,7 @@
     def _may_stop(self, run: Run, step: Step) -> bool:
         task = run.task
         if task.step.rank <= step.rank:
-            return False  # it would take the room again
+            return False  # it ranks ahead of the step and would take the capacity again
         priority = step.occurrence.job.terms.priority
         if run.state not in (RunState.RUNNING, RunState.ORDERED) or task.state is not TaskState.PLACED:
             return False
--- a/flintfield/jobs/ranks.py
+++ b/flintfield/jobs/ranks.py
@@ -1,5 +1,5 @@
-"""The order of steps in a queue."""
+"""Rank of steps in a queue."""
 
 from __future__ import annotations
 
-PRIORITY_GAP_MS = 30_000  # by which each priority number ranks a step later than its latest start
+PRIORITY_GAP_MS = 30_000  # added to a step's latest start time for each priority number
--- a/flintfield/jobs/readiness.py
+++ b/flintfield/jobs/readiness.py
@@ -1,9 +1,8 @@
-"""Which tasks' turn has come: occurrences by their times, steps by their dependencies, tasks after a backoff.
+"""Makes tasks ready: occurrences at their times, steps by their dependencies, tasks after a backoff.
 
-Ready tasks wait by step in their service's queue, in the order of a rank that never changes: the latest
-time at which the step may begin if the job is to meet its objective, plus `PRIORITY_GAP_MS` for each
-priority number. So a smaller number goes first, and one that has waited long enough is not passed any
-more.
+Steps with ready tasks wait in their service's queue, ordered by a rank that does not change while they are
+queued: the latest start time at which the job meets its objective, plus `PRIORITY_GAP_MS` for each priority
+number. So smaller priority numbers go first, but a step that has waited long enough is no longer overtaken.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 from flintfield.jobs.states import JobState, TaskState, WaitCause
 from flintfield.jobs.timing import Phase
 
-MAX_OPEN_OCCURRENCES = 256  # of one job; later times wait until earlier ones are done
-DEFAULT_ESTIMATE_MS = 1_000  # where the client guesses none
+MAX_OPEN_OCCURRENCES = 256  # per job; later occurrences wait until earlier ones are done
+DEFAULT_ESTIMATE_MS = 1_000  # if the client gives no estimate
 
 
 class Readiness:
-    """What opens occurrences and steps and fills the queues."""
+    """Opens occurrences and steps and fills the queues."""
 
     def __init__(self, state: DispatcherState) -> None:
         self._state = state
@@ -34,7 +33,7 @@
     # Occurrences
 
     def begin(self, job: Job) -> None:
-        """An active job: open what is due, and remember when the rest will be."""
+        """Schedule the occurrences of an active job, or open its only one."""
         if job.spec is None:
             return
         if job.spec.timed:
@@ -43,7 +42,7 @@
             self.open(job, 0)
 
     def open(self, job: Job, number: int) -> Occurrence:
-        """Open one time of the job, and its steps that wait for nothing."""
+        """Open an occurrence of the job and its steps without dependencies."""
         occurrence = open_occurrence(job, number)
         self.rank(occurrence)
         self.add_backlog(occurrence)
@@ -64,7 +63,7 @@
             heapq.heappush(self._due, (due, self._sequence, job))
 
     def open_due(self) -> None:
-        """Open the times that have come, by common time, never early."""
+        """Open the occurrences that are due by cluster time, never early."""
         state = self._state
         if not state.wall_known:
             return
@@ -83,7 +82,7 @@
             heapq.heappush(self._due, entry)
 
     def rank(self, occurrence: Occurrence) -> None:
-        """Compute the ranks of its steps, none of which may be queued."""
+        """Compute the ranks of the occurrence's steps; none of them may be queued."""
         job = occurrence.job
         terms = job.terms
         chain = max(job.chain, default=0)
@@ -96,13 +95,13 @@
     # Steps and tasks
 
     def open_step(self, step: Step) -> None:
-        """All earlier steps are done."""
+        """Make the tasks of a step ready after all steps that it depends on are done."""
         for task in step.tasks:
             if task.state is TaskState.WAITING:
                 self.make_ready(task)
 
     def make_ready(self, task: Task) -> None:
-        """The task may be placed from now on."""
+        """Allow the task to be placed from now on."""
         task.become_ready()
         task.ready_ms = self._state.now_ms
         step = task.step
@@ -117,7 +116,7 @@
         queue.dirty = True
 
     def delay(self, task: Task, delay_ms: int) -> None:
-        """The task may be placed after that time."""
+        """Allow the task to be placed after a delay."""
         if delay_ms <= 0:
             self.make_ready(task)
             return
@@ -127,7 +126,7 @@
         heapq.heappush(self._delayed, (self._state.now_ms + delay_ms, self._sequence, task))
 
     def end_delays(self) -> None:
-        """Make ready what has backed off long enough."""
+        """Make tasks ready whose backoff is over."""
         while self._delayed and self._delayed[0][0] <= self._state.now_ms:
             task = heapq.heappop(self._delayed)[2]
             over = task.job.ended or task.step.occurrence.finished
@@ -135,7 +134,7 @@
                 self.make_ready(task)
 
     def remove_ready(self, task: Task) -> None:
-        """It was placed, or needs no run any more."""
+        """Remove a task that was placed or needs no run any more from the ready tasks."""
         step = task.step
         self._state.timing.settle_wait(step, self._state.now_ms)
         step.ready.pop(task.index, None)
@@ -143,7 +142,7 @@
             self.drop_step(step)
 
     def drop_step(self, step: Step) -> None:
-        """Take the step out of its queue."""
+        """Remove the step from its queue."""
         step.ready.clear()
         if step.queued_in is not None:
             self._state.service(step.queued_in).remove(step)
@@ -151,12 +150,12 @@
     # Backlog
 
     def add_backlog(self, occurrence: Occurrence) -> None:
-        """Count its estimated work at its service."""
+        """Add the estimated work of an occurrence to the backlog of its service."""
         for step in occurrence.steps:
             self.count_backlog(step, step.left)
 
     def count_backlog(self, step: Step, tasks: int) -> None:
-        """Count so many tasks of this step (negative: they are done)."""
+        """Add the work of this many tasks of a step to the backlog (negative: remove it)."""
         if step.spec.long_running or not tasks:
             return
         terms = step.occurrence.job.terms
@@ -168,7 +167,7 @@
     # Configuration
 
     def change_terms(self, job: Job, terms: Terms) -> None:
-        """The configuration says something else of the job's queue."""
+        """Apply changed terms of the job's queue."""
         steps = [step for occurrence in job.open.values() for step in occurrence.steps]
         queued = [step for step in steps if step.queued_in is not None]
         for step in queued:
--- a/flintfield/jobs/recorder.py
+++ b/flintfield/jobs/recorder.py
@@ -1,4 +1,4 @@
-"""The hook for a history of jobs: what the dispatcher tells at its changes of state, if anybody listens."""
+"""Interface of an optional recorder that the dispatcher notifies of state changes of jobs."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Happening(enum.IntEnum):
-    """What happened to a job. The numbers are part of the form of `flintfield.observe`'s messages."""
+    """An event in the life of a job. The numbers are part of the message format of `flintfield.observe`."""
 
     ACCEPTED = 1
     PLACED = 2  # a run was placed on a worker
     INHERITED = 3  # a run of an earlier dispatcher was found in the store
-    STOPPING = 4  # a run is to end
-    RUN_ENDED = 5  # its end is certain; the detail says how
+    STOPPING = 4  # a run is being stopped
+    RUN_ENDED = 5  # the end of a run is certain; the detail is how it ended
     JOB_ENDED = 6  # the detail is the job's state
 
 
 class Recorder(Protocol):
-    """Takes notes; called within the event in hand, so it must be quick and must not raise."""
+    """Receives state changes; called while an event is processed, so it must be fast and must not raise."""
 
     def note(self, wall_ms: int, job: Job, happening: Happening, run: Run | None, detail: str) -> None:
-        """That happened to the job, or to that run of it, at this common time."""
+        """Record an event of the job or of one of its runs; `wall_ms` is cluster time."""
--- a/flintfield/jobs/restore.py
+++ b/flintfield/jobs/restore.py
@@ -1,4 +1,4 @@
-"""Building the dispatcher's tables from the durable items, after an election."""
+"""Rebuilds the dispatcher's tables from the stored records after an election."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Restore:
-    """Reads the items in the order: jobs, ends, done times, tasks; then makes ready what is."""
+    """Reads jobs, ends, completed occurrences and tasks, in this order, then makes tasks ready."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness) -> None:
         self._state = state
@@ -28,7 +28,7 @@
         self.unreadable = 0
 
     def restore(self, items: Mapping[bytes, bytes]) -> None:
-        """Fill the empty tables."""
+        """Fill the empty tables from the stored items."""
         by_kind: dict[bytes, list[tuple[str, bytes]]] = {}
         for key, value in items.items():
             by_kind.setdefault(key[:1], []).append((key[1:].decode("ascii", "replace"), value))
@@ -75,7 +75,7 @@
         where = durable.parse_task(name)
         job = self._state.jobs.get(where.job)
         if job is None:
-            job = Job(where.job, "", Terms("", 0, 1, 1.0, 0), 0, b"", None)  # forgotten, but for its runs
+            job = Job(where.job, "", Terms("", 0, 1, 1.0, 0), 0, b"", None)  # forgotten, but has runs
             job.become_active()
             job.end(JobState.CANCELLED, 0)
         task = self._live_task(job, where) or _stub_task(job, where, name)
@@ -151,13 +151,13 @@
             if step.open_runs():
                 for task in step.tasks:
                     if task.state is TaskState.WAITING:
-                        task.become_placed()  # its run is over; the others are stopped when they are met
+                        task.become_placed()  # its run has ended; others are stopped when listed
                 return
         self._readiness.open_step(step)
 
 
 def _stub_task(job: Job, where: TaskName, name: str) -> Task:
-    """A task that needs no run any more, for the sake of a run that may still hold capacity."""
+    """A placeholder for a task that needs no run, while a run of it may still occupy capacity."""
     occurrence = Occurrence(job, where.occurrence, 0, finished=True)
     step = Step(occurrence, where.step, StepSpec(count=1), 1, 0)
     task = Task(step, where.index, name)
--- a/flintfield/jobs/runs.py
+++ b/flintfield/jobs/runs.py
@@ -1,7 +1,7 @@
-"""Runs: placing, ordering, stopping and closing them.
+"""Places, starts, stops and closes runs.
 
-A placement is durable before its start order leaves, so that a successor knows every run that may exist.
-From the placement until the run is closed its resources count on its worker.
+A placement is durable before its start order is sent, so that a successor knows every run that may exist. A
+run occupies capacity on its worker from its placement until it is closed.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from flintfield.placement.interface import Demand, Worker
 
 
-NO_BOOT = -1  # tries of earlier orders for the same run may be open
+NO_BOOT = -1  # no boot: earlier orders for the same run may still be unanswered
 
 
 class Ending(enum.Enum):
-    """How a run was resolved."""
+    """How a run ended."""
 
     DONE = "done"
     FAILED = "failed"
@@ -33,24 +33,24 @@
     LAPSED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
-    LOST = "lost"  # its worker crashed, or was out of touch until its hold was over for certain
-    VANISHED = "vanished"  # the worker lists it nowhere although it answered the order
-    UNSENT = "unsent"  # its start order never left
-    REFUSED = "refused"  # its start order was answered, and nothing was done
+    LOST = "lost"  # its worker crashed, or was unreachable until its hold had certainly expired
+    VANISHED = "vanished"  # the worker answered the order but does not list the run
+    UNSENT = "unsent"  # its start order was never sent
+    REFUSED = "refused"  # the worker refused its start order
 
 
 Resolve = Callable[[Run, Ending, str], None]
 
 
 class Runs:
-    """What is done to runs. `resolve` is told of runs whose end became certain here."""
+    """Operations on runs. `resolve` is called for runs whose end becomes certain here."""
 
     def __init__(self, state: DispatcherState, resolve: Resolve) -> None:
         self._state = state
         self._resolve = resolve
 
     def place(self, task: Task, demand: Demand, worker: Worker, number: int, checkpoint: str) -> Run:
-        """Place a run of a ready task on this worker; its order leaves once that is durable."""
+        """Place a run of a ready task on this worker; its start order is sent once that is durable."""
         state = self._state
         run = Run(
             task,
@@ -87,7 +87,7 @@
         self.order_start(run, record)
 
     def order_start(self, run: Run, record: WorkerRecord) -> None:
-        """Send its start order; repeating it is harmless."""
+        """Send the run's start order; idempotent."""
         state = self._state
         job = run.task.job
         text = job.spec.spec if job.spec is not None else ""
@@ -104,7 +104,7 @@
         state.send_to(record)
 
     def stop(self, run: Run) -> None:
-        """See to it that the run ends, or never begins. Resolves it at once where its order has not left."""
+        """Stop the run or prevent its start. Resolves it immediately if its start order was not sent yet."""
         if run.state is RunState.PLACING:
             self._resolve(run, Ending.UNSENT, "")
             return
@@ -116,12 +116,12 @@
             self.order_stop(run, record)
 
     def order_stop(self, run: Run, record: WorkerRecord) -> None:
-        """Send a stop order, perhaps once more."""
+        """Send a stop order, possibly again."""
         self._forget_order(run, record)
         run.stop_ordered(self._send_stop(record, run.name, run.number, run))
 
     def order_stray_stop(self, record: WorkerRecord, name: str, number: int) -> int:
-        """Stop a run that is in no table, or bar it from starting; returns the order's number."""
+        """Stop a run that is in no table, or prevent its start; returns the order's number."""
         return self._send_stop(record, name, number, None)
 
     def _send_stop(self, record: WorkerRecord, name: str, number: int, run: Run | None) -> int:
@@ -132,7 +132,7 @@
         return order.order
 
     def close(self, run: Run) -> None:
-        """Its end is certain: its resources are free."""
+        """Close a run whose end is certain, and free its resources."""
         record = self._state.record_of(run)
         if record is not None:
             self._forget_order(run, record)
@@ -151,7 +151,7 @@
 
 
 def _may_start(run: Run) -> bool:
-    """Whether the run's order may still leave."""
+    """Whether the run's start order may still be sent."""
     job: Job = run.task.job
     if job.state is not JobState.ACTIVE or run.task.state is not TaskState.PLACED:
         return False
--- a/flintfield/jobs/starts.py
+++ b/flintfield/jobs/starts.py
@@ -1,8 +1,8 @@
-"""Placing ready tasks: a pass over a service's queue in the order of rank.
+"""Places ready tasks in passes over a service's queue, ordered by rank.
 
-The placement policy chooses; `may_hold` checks its choice against the rules before it is followed. A task
-whose data lies in a rack waits for that rack while that costs less than running far away (`racks`). A task
-that has waited long although a worker has room is placed there even where the policy would rather wait.
+The placement policy chooses a worker, and `can_place` checks the choice against the rules. A task whose data
+is in a rack waits for that rack while that costs less than running elsewhere (`racks`). A task that has
+waited long although a worker has capacity is placed there even if the policy would wait.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from flintfield.jobs.states import JobState, WaitCause
 from flintfield.placement.interface import Demand, Worker
 
-MAX_STARTS = 256  # in one pass, so that an event stays short
-MAX_WAITING_SHAPES = 48  # demands without room in one pass; the rest wait for the next
-MAX_RACK_WAITS = 256  # steps that wait for a rack, in one pass; they keep nobody else waiting
-RACK_WAITS_PER_PAUSE_MS = 8  # such a look is cheap
-RETRY_PASS_MS = 200  # a queue is tried again after that though nothing seems to have changed
-PAUSE_PER_SHAPE_MS = 1  # a pass over many demands without room is dear: it is made less often
+MAX_STARTS = 256  # per pass, so that an event is processed quickly
+MAX_WAITING_SHAPES = 48  # different demands left waiting in one pass; the rest wait for the next pass
+MAX_RACK_WAITS = 256  # steps left waiting for a rack in one pass; they do not block other steps
+RACK_WAITS_PER_PAUSE_MS = 8  # per ms of pause; a check of a rack is cheap
+RETRY_PASS_MS = 200  # a queue is tried again after this time even without a known change
+PAUSE_PER_SHAPE_MS = 1  # a pass with many waiting demands is expensive, so the next one is delayed
 
 Shape = tuple[object, ...]
 
@@ -32,7 +32,7 @@
 
 
 class Starts:
-    """Makes passes over queues."""
+    """Runs placement passes over the queues."""
 
     def __init__(
         self, state: DispatcherState, readiness: Readiness, ends: Ends, gangs: Gangs, preemption: Preemption
@@ -44,7 +44,7 @@
         self._preemption = preemption
 
     def run_passes(self) -> None:
-        """A pass over each queue that something has changed for."""
+        """Run a pass over each queue that has changed or was not tried for `RETRY_PASS_MS`."""
         now = self._state.now_ms
         for queue in self._state.services.values():
             if not queue.steps or now < queue.next_pass_ms:
@@ -61,7 +61,7 @@
             self._gangs.unhide_reserved(queue)
 
     def _place_steps(self, queue: ServiceQueue) -> None:
-        causes: dict[Shape, WaitCause] = {}  # why steps of a shape wait: the others of it are not tried
+        causes: dict[Shape, WaitCause] = {}  # why steps of a shape wait; others of that shape are skipped
         budget = MAX_STARTS
         racks = RackWaits(self._state, queue)
         for _, _, step in tuple(queue.steps):
@@ -85,7 +85,7 @@
             cause = self._wait_cause(queue, step)
             self._note_wait(step, cause)
             if cause is WaitCause.RACK:
-                racks.missed(step)  # each step of its kind is looked at: it may run far
+                racks.missed(step)  # each step is tried, also of the same shape, as it may run elsewhere
                 continue
             causes[shape] = cause
             if cause in _SHORT_OF_ROOM:
@@ -101,7 +101,7 @@
         step.wait_cause = cause
 
     def _wait_cause(self, queue: ServiceQueue, step: Step) -> WaitCause:
-        """Why the step's ready tasks were not placed just now."""
+        """Why the step's ready tasks were not placed in this pass."""
         demand = demand_of(next(iter(step.ready.values())))
         if not any(can_place(worker, demand) for worker in queue.workers.values()):
             return WaitCause.ROOM
@@ -110,11 +110,11 @@
         return WaitCause.RACK if step.spec.affinity else WaitCause.WORKER
 
     def _overdue(self, step: Step) -> bool:
-        """Whether it has waited so long that room counts for more than the policy."""
+        """Whether the step has waited so long that the policy is overridden."""
         return self._state.now_ms - step.ready_since_ms >= FORCE_AFTER_MS
 
     def _place(self, queue: ServiceQueue, step: Step, racks: RackWaits, budget: int) -> int:
-        """Place ready tasks of the step; how many were."""
+        """Place ready tasks of the step; returns the number placed."""
         tasks = list(step.ready.values())
         if not step.spec.affinity:
             return self._place_tasks(queue, step, tasks, budget, data_rack_only=False)
@@ -131,7 +131,7 @@
     def _place_tasks(
         self, queue: ServiceQueue, step: Step, tasks: list[Task], budget: int, data_rack_only: bool
     ) -> int:
-        """Place these tasks, perhaps in the rack of their data only; how many were."""
+        """Place these tasks, optionally only in the rack of their data; returns the number placed."""
         placed = 0
         for task in tasks:
             if placed >= budget or task.index not in step.ready or self._ends.fail_if_exhausted(task):
@@ -139,7 +139,7 @@
             chosen = self._choose(queue, task, data_rack_only)
             if chosen is None:
                 if not task.avoid:
-                    return placed  # the others ask for the same
+                    return placed  # the other tasks have the same demand
                 continue
             demand, worker = chosen
             self._readiness.remove_ready(task)
@@ -170,7 +170,7 @@
         return demand, worker
 
     def _least_used(self, queue: ServiceQueue, demand: Demand) -> tuple[Demand, Worker] | None:
-        """The fitting worker with the most room, trusted ones first, those that failed this task last."""
+        """The least used worker that fits, trusted ones first, those where this task failed last."""
         trusted, now = self._state.placement.trusted, self._state.now_ms
         fitting = [worker for worker in queue.workers.values() if can_place(worker, demand)]
         if not fitting:
@@ -187,7 +187,7 @@
 
 
 def _shape(step: Step) -> Shape:
-    """Two steps of one shape ask for the same, so that one without room stands for the other."""
+    """Steps of the same shape have the same demand, so if one finds no capacity the others don't either."""
     spec = step.spec
     if spec.anti_affinity or spec.same_rack or spec.gang:
         return (id(step),)
@@ -195,6 +195,6 @@
 
 
 def _racks(step: Step, queue: ServiceQueue) -> frozenset[str]:
-    """Racks where tasks of the step run."""
+    """Racks in which tasks of the step run."""
     found = {queue.workers[run.instance].rack for run in step.open_runs() if run.instance in queue.workers}
     return frozenset(found)
--- a/flintfield/jobs/state.py
+++ b/flintfield/jobs/state.py
@@ -1,4 +1,4 @@
-"""What the dispatcher's parts share: its tables, the batch of changes to be written, and its effects."""
+"""State shared by the dispatcher's components: tables, the pending batch of changes, and effects."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from flintfield.jobs.worker_record import WorkerRecord
 from flintfield.placement.interface import Placement, Worker
 
-ORDER_BITS = 32  # of an order's number, below its epoch: answers to a predecessor's orders are nobody's
-MAX_STARTS_SENT = 64  # in one message, as each may carry 4,000 bytes
-MAX_OUTSTANDING_WRITES = 8  # beyond, changes gather in the next batch
+ORDER_BITS = 32  # width of an order's number below its epoch; answers to a predecessor's orders match none
+MAX_STARTS_SENT = 64  # per message, as each start may carry 4,000 bytes
+MAX_OUTSTANDING_WRITES = 8  # above this, changes are collected in the next batch
 
 
 @dataclass(slots=True)
 class Counters:
-    """What is counted, for the log and the operator."""
+    """Counters for the log and the operator."""
 
     accepted: int = 0
     refused: int = 0
@@ -44,7 +44,7 @@
 
 
 class DispatcherState:
-    """The tables, and what the event in hand has brought about so far."""
+    """The tables, and the effects of the current event so far."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
         self.counters = Counters()
         self.recorder: Recorder | None = None
         self.jobs: dict[str, Job] = {}
-        self.ended: deque[tuple[int, Job]] = deque()  # (common time of the end, job), oldest first
+        self.ended: deque[tuple[int, Job]] = deque()  # (cluster time of the end, job), oldest first
         self.pending: Counter[str] = Counter()  # by queue: jobs that have not ended
-        self.kept_bytes = 0  # what the jobs that have not ended may take in the store
+        self.kept_bytes = 0  # upper bound of the store size of the jobs that have not ended
         self.workers: dict[str, WorkerRecord] = {}
-        self.placeable: dict[str, Worker] = {}  # named by reports: what placement sees
+        self.placeable: dict[str, Worker] = {}  # workers named by reports; visible to the placement policy
         self.by_machine: dict[str, str] = {}
         self.gone: OrderedDict[str, None] = OrderedDict()
         self.services: dict[str, ServiceQueue] = {}
@@ -89,39 +89,39 @@
     # Time
 
     def set_wall(self, wall_ms: int) -> None:
-        """The common time is told."""
+        """Set the cluster time."""
         self._wall_ms = wall_ms
         self._wall_at_ms = self.now_ms
 
     @property
     def wall_known(self) -> bool:
-        """Whether the common time was ever told."""
+        """Whether the cluster time was ever set."""
         return self._wall_ms is not None
 
     @property
     def wall_ms(self) -> int:
-        """The common time now, carried on by the steady clock since it was last told."""
+        """The current cluster time, advanced by the monotonic clock since it was last set."""
         return (self._wall_ms or 0) + self.now_ms - self._wall_at_ms
 
     # Writes
 
     def put(self, key: bytes, value: bytes | None) -> None:
-        """Change the store with the next write."""
+        """Add a change to the next write; None deletes the key."""
         self._changes[key] = value
 
     def after_write(self, action: Callable[[], None]) -> None:
-        """Call this once all changes so far are durable."""
+        """Call `action` once all changes so far are durable."""
         self._after.append(action)
 
     def written(self, write: int) -> None:
-        """That write, and so all before it, is durable."""
+        """Handle the confirmation that a write and all earlier ones are durable."""
         while self._outstanding and next(iter(self._outstanding)) <= write:
             _, actions = self._outstanding.popitem(last=False)
             for action in actions:
                 action()
 
     def write_task(self, task: Task) -> None:
-        """Note the task's present state, or drop its record where it is needed no more."""
+        """Write the task's current state, or delete its record if it is no longer needed."""
         occurrence = task.step.occurrence
         over = occurrence.finished or task.job.ended
         if over and not task.runs:
@@ -133,18 +133,18 @@
         task.recorded = True
 
     def record(self, job: Job, happening: Happening, run: Run | None = None, detail: str = "") -> None:
-        """Tell the recorder, if there is one."""
+        """Notify the recorder, if there is one."""
         if self.recorder is not None:
             self.recorder.note(self.wall_ms, job, happening, run, detail)
 
     # Effects
 
     def emit(self, effect: Effect) -> None:
-        """Have this done."""
+        """Add an effect."""
         self._effects.append(effect)
 
     def flush(self) -> list[Effect]:
-        """All effects of the event in hand."""
+        """Return all effects of the current event."""
         self._flush_writes()
         for record in self._to_send.values():
             self._flush_orders(record)
@@ -170,17 +170,17 @@
     # Orders
 
     def next_order(self) -> int:
-        """A new number for an order."""
+        """Allocate an order number."""
         self._order += 1
         return self._order
 
     def send_to(self, record: WorkerRecord) -> None:
-        """Send this worker what is out for it, with the end of this event."""
+        """Send this worker its unsent orders at the end of the current event."""
         self._to_send[record.instance] = record
 
     def _flush_orders(self, record: WorkerRecord) -> None:
         if not record.connected or record.stamp_ms < 0:
-            return  # repeated from `orders` with the next report
+            return  # sent again from `orders` with the next report
         starts, stops = record.unsent_starts, record.unsent_stops
         record.unsent_starts, record.unsent_stops = [], []
         while True:
@@ -207,18 +207,18 @@
     # Tables
 
     def service(self, name: str) -> ServiceQueue:
-        """The queue of this service; made where there is none yet."""
+        """The queue of this service; created if missing."""
         queue = self.services.get(name)
         if queue is None:
             queue = self.services[name] = ServiceQueue(name)
         return queue
 
     def record_of(self, run: Run) -> WorkerRecord | None:
-        """The worker that holds the run."""
+        """The record of the run's worker."""
         return self.workers.get(run.instance)
 
     def count_run(self, run: Run) -> None:
-        """Count its resources on its worker."""
+        """Add a run's resources to the use of its worker."""
         record = self.workers[run.instance]
         record.runs[run.name, run.number] = run
         worker = record.worker
@@ -227,7 +227,7 @@
         worker.held[group] = worker.held.get(group, 0) + 1
 
     def uncount_run(self, run: Run) -> None:
-        """Its resources are free."""
+        """Remove a run's resources from the use of its worker."""
         record = self.workers.get(run.instance)
         if record is None or record.runs.pop((run.name, run.number), None) is None:
             return
@@ -242,10 +242,10 @@
         self.service(worker.service).dirty = True
 
     def answer(self, status: int, body: bytes = b"{}", retry_after_ms: int = 0) -> JobAnswer:
-        """An answer by the configuration in force."""
+        """Build an answer based on the configuration in force."""
         version = self.configuration.version if self.configuration is not None else 0
         return JobAnswer(status, body, retry_after_ms, version)
 
     def remember_ended(self, job: Job) -> None:
-        """Keep it for `keep_ended_ms` from its end on."""
+        """Keep an ended job for `keep_ended_ms` after its end."""
         self.ended.append((job.ended_wall_ms, job))
--- a/flintfield/jobs/states.py
+++ b/flintfield/jobs/states.py
@@ -1,4 +1,4 @@
-"""The states of jobs, tasks and runs, and the changes between them that there are."""
+"""The states of jobs, tasks and runs, and the allowed transitions."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class IllegalChange(RuntimeError):
-    """A change of state that the state machine does not know: a defect of the dispatcher."""
+    """A transition that the state machine does not allow: a bug in the dispatcher."""
 
 
 class JobState(enum.IntEnum):
-    """Where a job stands. The numbers are part of the durable form."""
+    """State of a job. The numbers are part of the storage format."""
 
     ACCEPTING = 1  # its acceptance is not durable yet
     ACTIVE = 2
@@ -20,34 +20,34 @@
 
 
 class TaskState(enum.IntEnum):
-    """Where a task stands."""
+    """State of a task."""
 
     WAITING = 1  # for earlier steps
     READY = 2
-    DELAYED = 3  # backs off before the next run
-    PLACED = 4  # at least one run may be there
+    DELAYED = 3  # waits for a backoff before the next run
+    PLACED = 4  # at least one run may exist
     DONE = 5
 
 
 class RunState(enum.IntEnum):
-    """Where a run stands."""
+    """State of a run."""
 
-    PLACING = 1  # the placement is not durable yet; no order has left
-    ORDERED = 2  # the start order may have left
-    INHERITED = 3  # placed by an earlier dispatcher; not seen yet
-    RUNNING = 4  # seen on the worker
+    PLACING = 1  # the placement is not durable yet; no order has been sent
+    ORDERED = 2  # the start order may have been sent
+    INHERITED = 3  # placed by an earlier dispatcher; not listed yet
+    RUNNING = 4  # listed by the worker
     STOPPING = 5
     CLOSED = 6  # its end is certain
 
 
 class WaitCause(enum.Enum):
-    """Why ready tasks of a step were not placed when a pass last looked at them."""
+    """Why the last pass did not place the ready tasks of a step."""
 
-    PASS = enum.auto()  # none has looked yet, or it had no time for them
-    ROOM = enum.auto()  # no worker has room
-    RACK = enum.auto()  # they wait for room in the rack of their data
-    WORKER = enum.auto()  # there is room, and the policy waits for a better worker
-    GANG = enum.auto()  # single members would fit, all together don't
+    PASS = enum.auto()  # no pass has tried them yet, or the pass reached a limit first
+    ROOM = enum.auto()  # no worker has capacity
+    RACK = enum.auto()  # they wait for capacity in the rack of their data
+    WORKER = enum.auto()  # there is capacity, but the policy waits for a better worker
+    GANG = enum.auto()  # a single member would fit, but not all of them
 
 
 JOB_CHANGES = {
--- a/flintfield/jobs/terms.py
+++ b/flintfield/jobs/terms.py
@@ -1,4 +1,4 @@
-"""The terms of a queue, as a job keeps them."""
+"""The configured terms of a queue, as stored with a job."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What the configuration says of a job's queue."""
+    """Configuration of a job's queue."""
 
     service: str
     priority: int
--- a/flintfield/jobs/timing.py
+++ b/flintfield/jobs/timing.py
@@ -1,10 +1,9 @@
-"""Where the time of jobs goes: sums by queue and phase, and for the newest jobs by job.
+"""Times of jobs by phase: sums per queue, and per job for the newest jobs.
 
-The dispatcher notes each phase as it ends. Times of tasks are summed over tasks, so that a wide step that
-waits
-weighs as much as it is wide; times of a job as a whole (`ADMISSION`, `SHOW`) count once. Waiting is divided
-by
-the reason that the last pass over the queue found. Memory is bounded: `MOST_QUEUES` queues, `MOST_JOBS` jobs.
+The dispatcher records each phase when it ends. Times of tasks are summed over tasks, so that a waiting step
+counts once per task; times of a whole job (`ADMISSION`, `SHOW`) count once. Waiting is divided by the cause
+that the last pass over the queue found. Memory is limited to `MAX_TIMED_QUEUES` queues and `MAX_TIMED_JOBS`
+jobs.
 """
 
 from __future__ import annotations
@@ -17,31 +16,30 @@
 from flintfield.jobs.model import Job, Step
 from flintfield.jobs.states import WaitCause
 
-MAX_TIMED_QUEUES = 256  # by name; what belongs to later ones is summed under ""
-MAX_TIMED_JOBS = 512  # with times of their own, the newest
-MAX_SUM_MS = 0xFFFF_FFFF  # of one sum of a job
+MAX_TIMED_QUEUES = 256  # further queues are summed under ""
+MAX_TIMED_JOBS = 512  # the newest jobs, which have their own times
+MAX_SUM_MS = 0xFFFF_FFFF  # limit of a sum of one job
 
 
 class Phase(enum.IntEnum):
-    """A part of the way of a job or task; the numbers are part of the form of `flintfield.observe`'s
-    messages."""
-
-    ADMISSION = 0  # handed in until its acceptance is durable
-    WAIT_PASS = 1  # ready, and no pass has looked at it yet
-    WAIT_ROOM = 2  # no worker has room
-    WAIT_RACK = 3  # for room in the rack of its data
-    WAIT_WORKER = 4  # there is room, and the policy waits for a better or a trusted worker
-    WAIT_GANG = 5  # single members would fit, all together don't
+    """A phase of a job or task; the numbers are part of the message format of `flintfield.observe`."""
+
+    ADMISSION = 0  # from submission until the acceptance is durable
+    WAIT_PASS = 1  # ready, but no pass has tried it yet
+    WAIT_ROOM = 2  # no worker has capacity
+    WAIT_RACK = 3  # for capacity in the rack of its data
+    WAIT_WORKER = 4  # there is capacity, but the policy waits for a better or a trusted worker
+    WAIT_GANG = 5  # a single member would fit, but not all of them
     BACKOFF = 7  # after a run that ended badly
-    PLACEMENT = 8  # placed until its start order leaves: the placement is durable
-    START = 9  # ordered until the worker has answered, as far as it is told
-    RUN = 10  # started until its end `done` is told
+    PLACEMENT = 8  # from placement until the start order is sent, once the placement is durable
+    START = 9  # from the start order until its answer is reported
+    RUN = 10  # from the start until the end `done` is reported
     RUN_LOST = 11  # the same for runs that ended otherwise
-    NOTE = 12  # an end is told until it is durable
-    SHOW = 13  # the last end is told until the job is shown as ended
+    NOTE = 12  # from the report of an end until it is durable
+    SHOW = 13  # from the report of the last end until the job is shown as ended
 
 
-PHASES = max(Phase) + 1  # number 6 is not used any more
+PHASES = max(Phase) + 1  # number 6 is no longer used
 
 _PHASE_OF_WAIT = {
     WaitCause.PASS: Phase.WAIT_PASS,
@@ -54,7 +52,7 @@
 
 @dataclass(slots=True)
 class QueueTimes:
-    """By phase: how many tasks (or jobs) went through it, how long in all, and the longest (ms)."""
+    """By phase: number of tasks (or jobs), total time and longest time (ms)."""
 
     count: array[int]
     total_ms: array[int]
@@ -62,7 +60,7 @@
 
 
 class JobTimes:
-    """By phase: the sum over the job's tasks, and the longest (ms)."""
+    """By phase: sum over the job's tasks and longest time (ms)."""
 
     __slots__ = ("longest_ms", "total_ms")
 
@@ -71,29 +69,29 @@
         self.longest_ms = array("I", bytes(4 * PHASES))
 
     def add(self, phase: Phase, sum_ms: int, longest_ms: int) -> None:
-        """Tasks went through this phase in that time together, the longest in that."""
+        """Add the total and the longest time of tasks in a phase."""
         self.total_ms[phase] = min(MAX_SUM_MS, self.total_ms[phase] + sum_ms)
         self.longest_ms[phase] = max(self.longest_ms[phase], min(MAX_SUM_MS, longest_ms))
 
 
 class Timing:
-    """The sums of one term."""
+    """The times recorded in one term of the dispatcher."""
 
     def __init__(self) -> None:
         self.queues: dict[str, QueueTimes] = {}
         self._timed: deque[Job] = deque()
 
     def begin(self, job: Job) -> None:
-        """Keep times of this job, and drop those of the eldest where there are too many."""
+        """Start recording times of this job; drop those of the oldest job above `MAX_TIMED_JOBS`."""
         job.times = JobTimes()
         self._timed.append(job)
         if len(self._timed) > MAX_TIMED_JOBS:
             self._timed.popleft().times = None
 
     def note(self, job: Job, phase: Phase, each_ms: int, tasks: int = 1, longest_ms: int = 0) -> None:
-        """So many tasks of the job (or the job itself) went through this phase in that time each.
+        """Add `each_ms` per task of the job (or for the job itself) to a phase.
 
-        `longest_ms` is told where this is a part of a longer time.
+        `longest_ms` is given if `each_ms` is a part of a longer time.
         """
         each_ms = max(0, each_ms)
         longest_ms = max(each_ms, longest_ms)
@@ -106,7 +104,7 @@
             job.times.add(phase, each_ms * tasks, longest_ms)
 
     def settle_wait(self, step: Step, now_ms: int) -> None:
-        """The step's ready tasks have waited until now for the cause that was found last."""
+        """Record the waiting time of the step's ready tasks up to now under its last cause."""
         waited_ms = now_ms - step.waiting_since_ms
         if step.ready and waited_ms > 0:
             phase, since_ready_ms = _PHASE_OF_WAIT[step.wait_cause], now_ms - step.ready_since_ms
@@ -127,7 +125,7 @@
 
 
 def logged_times(timing: Timing) -> dict[str, str]:
-    """By queue, each phase with its count and mean (ms), as a log shows it."""
+    """By queue: count and mean (ms) of each phase, formatted for the log."""
     return {
         name or "others": " ".join(
             f"{phase.name.lower()}={queue.count[phase]}x{queue.total_ms[phase] // queue.count[phase]}"
--- a/flintfield/jobs/workers.py
+++ b/flintfield/jobs/workers.py
@@ -1,7 +1,8 @@
-"""Workers as their agents report them: holds, listings, ends, answers to orders, and what is free again.
+"""Processes agents' reports about workers: holds, listings, ends, order results and the release of capacity.
 
-What is free is listed in docs/system.md. Every report is answered, and a hold granted from its stamp on;
-a worker that answers nothing itself gets no further hold, so that its runs are over at a known time.
+The rules for releasing capacity are in docs/system.md. Every report is answered, which grants a hold from the
+report's stamp on. A worker that does not answer its agent gets no further hold, so that its runs end at a
+known time.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from flintfield.jobs.worker_record import WorkerRecord, unknown_worker
 from flintfield.placement.interface import Resources
 
-MAX_GONE_REMEMBERED = 4_096  # incarnations that are gone; a late heartbeat of one must not bring it back
-FORGET_WORKER_MS = 600_000  # a silent worker without runs is forgotten after that
-IDENTIFY_MS = 2_500  # how long an agent that knows of no worker is told which one it had
-CHECK_PERIOD_MS = 150  # between two looks at all workers
+MAX_GONE_REMEMBERED = 4_096  # removed incarnations; a late heartbeat must not add one again
+FORGET_WORKER_MS = 600_000  # a silent worker without runs is forgotten after this time
+IDENTIFY_MS = 2_500  # how long a restarted agent that does not know its worker is sent the worker's id
+CHECK_PERIOD_MS = 150  # interval between checks of all workers
 
 
 class Workers:
-    """Takes in reports, and the passing of time for workers that send none."""
+    """Processes reports, and timeouts of workers without reports."""
 
     def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
         self._state = state
@@ -39,17 +40,17 @@
     # Reports
 
     def report(self, report: AgentReport) -> None:
-        """Take in a report and answer it."""
+        """Process a report and answer it."""
         state = self._state
-        told = report.worker
-        if told is None or told.instance in state.gone:
+        reported = report.worker
+        if reported is None or reported.instance in state.gone:
             self._answer_without_worker(report)
             return
-        record = self._record(report, told)
+        record = self._record(report, reported)
         if report.boot == record.boot and report.stamp_ms < record.stamp_ms:
-            return  # passed by a newer one
+            return  # a newer report has already arrived
         fresh = self._note_agent_process(record, report)
-        self._note_worker(record, told, report)
+        self._note_worker(record, reported, report)
         self._orders.results(record, report.results)
         if fresh:
             self._orders.repeat_all(record)
@@ -77,7 +78,7 @@
         )
 
     def _may_identify(self, record: WorkerRecord, report: AgentReport) -> bool:
-        """Whether to tell a new life of the agent which worker it had, so that its hold goes on."""
+        """Whether to tell a restarted agent which worker it had, so that the worker's hold is extended."""
         now = self._state.now_ms
         if report.boot == record.boot or record.barred:
             return False
@@ -85,25 +86,25 @@
             record.unidentified_boot, record.unidentified_since_ms = report.boot, now
         return now - record.unidentified_since_ms < IDENTIFY_MS
 
-    def _record(self, report: AgentReport, told: WorkerState) -> WorkerRecord:
+    def _record(self, report: AgentReport, reported: WorkerState) -> WorkerRecord:
         state = self._state
-        record = state.workers.get(told.instance)
-        if record is None or state.by_machine.get(report.machine) != told.instance:
-            self._drop_earlier_incarnations(report.machine, told.instance)
-            state.by_machine[report.machine] = told.instance
+        record = state.workers.get(reported.instance)
+        if record is None or state.by_machine.get(report.machine) != reported.instance:
+            self._drop_earlier_incarnations(report.machine, reported.instance)
+            state.by_machine[report.machine] = reported.instance
         if record is None:
-            record = WorkerRecord(unknown_worker(told.instance, report.machine), False, state.now_ms)
-            state.workers[told.instance] = record
+            record = WorkerRecord(unknown_worker(reported.instance, report.machine), False, state.now_ms)
+            state.workers[reported.instance] = record
         return record
 
     def _drop_earlier_incarnations(self, machine: str, instance: str) -> None:
-        """Another incarnation is there now, so that all earlier ones run nothing any more."""
+        """Remove earlier incarnations on the machine; once another has replaced them, they run nothing."""
         for record in list(self._state.workers.values()):
             if record.worker.machine == machine and record.instance != instance:
                 self._remove_worker(record)
 
     def _note_agent_process(self, record: WorkerRecord, report: AgentReport) -> bool:
-        """Whether this is a new life of the agent, or a new connection, so that orders are to be repeated."""
+        """Record the agent's boot; returns whether a restart or reconnect requires orders to be repeated."""
         if not record.known or record.boot != report.boot:
             record.boot = report.boot
             record.fence_stamp = None
@@ -120,32 +121,32 @@
             record.fence_stamp = report.stamp_ms
         return fresh
 
-    def _note_worker(self, record: WorkerRecord, told: WorkerState, report: AgentReport) -> None:
+    def _note_worker(self, record: WorkerRecord, reported: WorkerState, report: AgentReport) -> None:
         state = self._state
         worker = record.worker
-        capacity = Resources(told.cpu, told.memory_mb, told.gpu)
-        if worker.service != told.service:
+        capacity = Resources(reported.cpu, reported.memory_mb, reported.gpu)
+        if worker.service != reported.service:
             state.service(worker.service).workers.pop(worker.instance, None)
-            worker.service = told.service
+            worker.service = reported.service
         if worker.capacity != capacity:
             worker.capacity = capacity
             state.service(worker.service).dirty = True
         state.service(worker.service).workers[worker.instance] = worker
         state.placeable[worker.instance] = worker
-        worker.zone = told.zone
-        labels = frozenset(told.labels)
+        worker.zone = reported.zone
+        labels = frozenset(reported.labels)
         if worker.labels != labels:
             worker.labels = labels
-            worker.rack = rack_of(told.labels)
+            worker.rack = rack_of(reported.labels)
             self._note_distances(record)
-        if told.draining and (not record.draining or told.remaining_ms != record.remaining_ms):
-            record.leaves_ms = state.now_ms + told.remaining_ms
-        record.draining = told.draining
-        record.remaining_ms = told.remaining_ms
+        if reported.draining and (not record.draining or reported.remaining_ms != record.remaining_ms):
+            record.leaves_ms = state.now_ms + reported.remaining_ms
+        record.draining = reported.draining
+        record.remaining_ms = reported.remaining_ms
         record.silent = report.silent_ms > state.bounds.silent_ms
 
     def _note_distances(self, record: WorkerRecord) -> None:
-        """Which of the runs there are away from their data: those of an earlier dispatcher don't say."""
+        """Mark the runs that are away from their data; the records of inherited runs do not tell."""
         for run in record.runs.values():
             affinity = run.task.step.spec.affinity
             if affinity and record.worker.rack != affinity:
@@ -154,7 +155,7 @@
     # Holds
 
     def _release_lapsed(self, record: WorkerRecord, report: AgentReport) -> None:
-        """Everything that the agent knew of at its last report is over."""
+        """Release the answered runs of a worker whose holds have all lapsed."""
         if report.lapsed:
             for run in list(record.runs.values()):
                 if run.answered_stamp is not None and run.answered_stamp < report.stamp_ms:
@@ -167,7 +168,7 @@
         record.granted_stamp = report.stamp_ms
 
     def _release(self, record: WorkerRecord, run: Run) -> None:
-        """The run is over for certain; should its order still be under way there, it is barred."""
+        """Resolve a run that is certainly over; a stop order blocks a start order still in flight."""
         if run.state is RunState.CLOSED:
             return
         if run.state is not RunState.PLACING:
@@ -177,7 +178,7 @@
         self._ends.resolve(run, Ending.LOST, "")
 
     def _remove_worker(self, record: WorkerRecord) -> None:
-        """This incarnation runs nothing any more."""
+        """Remove an incarnation that runs nothing any more, and resolve its runs."""
         state = self._state
         state.workers.pop(record.instance, None)
         state.gone[record.instance] = None
@@ -198,7 +199,7 @@
     # Readiness and time
 
     def lost(self, machine: str) -> None:
-        """The connection to the agent has closed."""
+        """Handle the loss of the connection to an agent."""
         record = self._state.workers.get(self._state.by_machine.get(machine, ""))
         if record is None:
             return
@@ -207,7 +208,7 @@
         self.update_ready(record)
 
     def update_ready(self, record: WorkerRecord) -> None:
-        """Whether tasks may be placed there now."""
+        """Update whether tasks may be placed on the worker."""
         state = self._state
         held = state.now_ms < record.granted_ms + state.bounds.hold // 2
         ready = (
@@ -224,7 +225,7 @@
         record.worker.ready = ready
 
     def tick(self) -> None:
-        """Release what is over for certain, repeat what has no answer, forget who is long gone."""
+        """Release runs that are certainly over, repeat unanswered orders, forget long-silent workers."""
         state = self._state
         if state.now_ms - self._last_check_ms < CHECK_PERIOD_MS:
             return
@@ -245,5 +246,5 @@
 
 
 def rack_of(labels: tuple[str, ...]) -> str:
-    """The label that names the rack: its kind comes first, its rack after it."""
+    """The label that names the rack; labels start with the kind of the worker, followed by the rack."""
     return labels[1] if len(labels) > 1 else ""
--- a/tests/system/jobs_fleet.py
+++ b/tests/system/jobs_fleet.py
@@ -1,4 +1,4 @@
-"""Machines with agents and workers in virtual time, and the network between them and the dispatcher."""
+"""Simulated machines with agents and workers, and their network to the dispatcher, in virtual time."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     worker: WorldWorker
     boot: int = 1
     linked: bool = False
-    cut: bool = False  # agent and dispatcher
-    worker_cut: bool = False  # agent and worker
-    late_share: float = 0.0  # of the orders that get no answer and are carried out later
+    cut: bool = False  # whether the agent is cut off from the dispatcher
+    worker_cut: bool = False  # whether the agent is cut off from the worker
+    late_share: float = 0.0  # share of orders that get no answer and are carried out later
     beat_seq: int = 0
 
 
 class Fleet(ABC):
-    """Time, machines, agents and workers. Times are ms of one true clock."""
+    """Simulated time, machines, agents and workers. Times are ms of one global clock."""
 
     def __init__(self, seed: int, service: str, hold_max_ms: int) -> None:
         self.rng = random.Random(seed)
@@ -59,16 +59,16 @@
     @property
     @abstractmethod
     def listening(self) -> bool:
-        """Whether there is a dispatcher."""
+        """Whether a dispatcher is running."""
 
     @abstractmethod
     def feed(self, event: Event) -> None:
-        """Give the dispatcher an event."""
+        """Pass an event to the dispatcher."""
 
-    # Building
+    # Machines
 
     def add_machine(self, name: str, cpu: int = 4_000) -> Machine:
-        """A machine whose agent and worker start now."""
+        """Add a machine whose agent and worker start now."""
         machine = Machine(name, None, self._new_worker(name, cpu))
         self.machines[name] = machine
         self.start_agent(machine)
@@ -83,7 +83,7 @@
         return worker
 
     def gang(self, key: tuple[str, int]) -> list[tuple[WorldWorker, ModelRun]]:
-        """All present members of a gang's run."""
+        """All running members of a gang's run."""
         return [
             (machine.worker, run)
             for machine in self.machines.values()
@@ -92,19 +92,19 @@
         ]
 
     def plan(self, task: str, _spec: str) -> RunPlan:
-        """What the runs of a task do."""
+        """The simulated behaviour of a task's runs."""
         job = task.partition(".")[0]
         return self.plans[job](task)
 
     # Time
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Do it later."""
+        """Schedule an action."""
         self.sequence += 1
         heapq.heappush(self.events, (self.now + delay_ms, self.sequence, action))
 
     def run(self, for_ms: float) -> None:
-        """Let that much time pass."""
+        """Advance the virtual time."""
         until = self.now + for_ms
         while self.events and self.events[0][0] <= until:
             at, _, action = heapq.heappop(self.events)
@@ -116,13 +116,13 @@
 
     @property
     def steady(self) -> int:
-        """The dispatcher's clock."""
+        """The dispatcher's monotonic clock."""
         return int(self.now)
 
     # Agents
 
     def start_agent(self, machine: Machine) -> None:
-        """A new life of the agent."""
+        """Start or restart the agent."""
         machine.boot += 1
         limits = AgentLimits(self.worker_bounds.hold_max_ms)
         machine.agent = Agent(
@@ -133,7 +133,7 @@
         self._wake(machine, machine.agent)
 
     def crash_agent(self, machine: Machine, down_ms: float) -> None:
-        """The agent is killed and comes back."""
+        """Kill the agent; it restarts after `down_ms`."""
         machine.agent = None
         self._unlink(machine)
         self.faults += 1
@@ -145,7 +145,7 @@
             self.feed(AgentLost(machine.name))
 
     def link(self, machine: Machine) -> None:
-        """The agent connects to the dispatcher, or tries again."""
+        """Connect the agent to the dispatcher, or retry later."""
         if machine.linked or machine.agent is None:
             return
         if not self.listening or machine.cut:
@@ -155,7 +155,7 @@
         self.step_agent(machine, agent_events.LinkOpened())
 
     def set_cut(self, machine: Machine, cut: bool) -> None:
-        """Cut the agent off from the dispatcher, or end that."""
+        """Cut the agent off from the dispatcher, or reconnect it."""
         machine.cut = cut
         self.faults += 1
         if cut:
@@ -164,7 +164,7 @@
             self.after(self.rng.uniform(5, 300), partial(self.link, machine))
 
     def step_agent(self, machine: Machine, event: agent_events.Event) -> None:
-        """Give the agent an event and carry out its effects."""
+        """Pass an event to the agent and carry out its effects."""
         agent = machine.agent
         if agent is None:
             return
@@ -225,7 +225,7 @@
         self.after(self.rng.uniform(400, 600), partial(self._beat, machine))
 
     def crash_worker(self, machine: Machine, down_ms: float) -> None:
-        """The worker dies, and another incarnation takes its place."""
+        """Crash the worker; another incarnation starts after `down_ms`."""
         machine.worker.crash()
         self.faults += 1
         cpu = machine.worker.capacity.cpu
@@ -237,7 +237,7 @@
         self.after(down_ms, restart)
 
     def drain_worker(self, machine: Machine) -> None:
-        """It says that it will leave."""
+        """Let the worker announce that it is draining."""
         machine.worker.draining_since = self.now
 
     def _call_worker(self, machine: Machine, agent: Agent, call: agent_events.CallWorker) -> None:
--- a/tests/system/jobs_judge.py
+++ b/tests/system/jobs_judge.py
@@ -1,4 +1,4 @@
-"""The rules of the users, judged on what model workers saw and what clients were told."""
+"""Checks the service's guarantees against the runs on model workers and the answers to clients."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from .jobs_worker import ObservedRun
 from .jobs_world import WALL_0, ClientAnswer, World
 
-MAX_ATTEMPTS = 2  # of the world's routes
+MAX_ATTEMPTS = 2  # of the routes in `World`
 CANCEL_MS = 3_000
 DRAIN_MS = 2_000
 
 
 @dataclass
 class Judge:
-    """The rules, on what workers and clients saw."""
+    """Checks the guarantees on what workers and clients observed."""
 
     world: World
     faults: list[str] = field(default_factory=list)
 
     def check(self) -> list[str]:
-        """All broken rules."""
+        """Return all violations."""
         by_task: dict[str, list[ObservedRun]] = {}
         for seen in self.world.seen:
             by_task.setdefault(seen.task, []).append(seen)
--- a/tests/system/jobs_worker.py
+++ b/tests/system/jobs_worker.py
@@ -1,4 +1,4 @@
-"""Model workers whose gangs stretch over workers, and what they saw."""
+"""Model workers with gangs that span several workers, and the runs that they observed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class ObservedRun:
-    """A run as its worker saw it, in world time."""
+    """A run as observed by its worker, in world time."""
 
     task: str
     run: int
@@ -27,13 +27,13 @@
     end: float | None = None
     how: str = ""
     number: int = 0
-    acknowledged: bool = False  # `lastSeen` reached it, and the hold had not lapsed in between
-    draining_since: float | None = None  # as an agent has acknowledged it
-    late: bool = False  # the order was carried out seconds after it was sent
+    acknowledged: bool = False  # whether `lastSeen` reached its end before the hold lapsed
+    draining_since: float | None = None  # as acknowledged by an agent
+    late: bool = False  # whether the order was carried out seconds after it was sent
 
 
 class WorldWorker(WorkerModel):
-    """A model worker with its own clock, whose gangs stretch over workers."""
+    """A model worker with its own clock, whose gangs can span several workers."""
 
     def __init__(self, world: Fleet, machine: str, instance: str, capacity: Capacity, rate: float) -> None:
         self.world = world
@@ -46,25 +46,27 @@
         self.open: dict[str, ObservedRun] = {}
         self.ended: list[ObservedRun] = []
         self.serving_late = False
-        self.factor = 1.0  # what is started takes so many times as long
-        self.slowed: dict[str, tuple[int, int, float]] = {}  # by task: since when, ms done by then, factor
+        self.factor = 1.0  # slowdown of the runs that start from now on
+        self.slowed: dict[
+            str, tuple[int, int, float]
+        ] = {}  # by task: start of the work, ms done before, slowdown
         super().__init__(instance, 0, world.worker_bounds, capacity, plan=world.plan)
 
     def clock(self) -> int:
-        """Its clock now."""
+        """The worker's clock."""
         return int((self.world.now - self.born) * self.rate)
 
     def to_world(self, clock: int) -> float:
-        """World time of its clock."""
+        """Convert the worker's clock to world time."""
         return self.born + clock / self.rate
 
     def catch_up(self) -> None:
-        """Bring it to the present."""
+        """Advance the worker to the present."""
         if not self.dead:
             self.advance(self.clock())
 
     def crash(self) -> None:
-        """Its runs are over."""
+        """Crash the worker and end its runs."""
         self.catch_up()
         self.dead = True
         for seen in self.open.values():
@@ -73,7 +75,7 @@
         super().crash()
 
     def hold(self, now: int, fields: dict[str, object]) -> tuple[int, dict[str, object]]:
-        """Note which ends the system has taken note of."""
+        """Record which ends the system has acknowledged."""
         status, answer = super().hold(now, fields)
         if status == 200:
             for seen in self.ended:
@@ -82,7 +84,7 @@
         return status, answer
 
     def advance(self, now: int) -> None:
-        """Ends that are not noted when the hold lapses never count as noted, whether anything runs or not."""
+        """Ends not acknowledged when the hold lapses never count as acknowledged, even if nothing runs."""
         lapses = self.expires_ms
         super().advance(now)
         if lapses <= now:
@@ -106,7 +108,7 @@
         self._begin_run(task, run, plan, saved)
 
     def start(self, now: int, fields: dict[str, object]) -> tuple[int, dict[str, object]]:
-        """Remember the spec for the judge."""
+        """Keep the spec for the judge."""
         self.current_spec = str(fields.get("spec"))
         return super().start(now, fields)
 
@@ -127,7 +129,7 @@
 
     @staticmethod
     def _end_together(members: list[tuple[WorldWorker, ModelRun]]) -> None:
-        """A gang ends as a whole: who is through before stays listed, at 100 %."""
+        """End a gang as a whole: members that are complete earlier stay listed at 100 %."""
         ends = [worker.to_world(member.ends_at) for worker, member in members if member.ends_at is not None]
         for worker, member in members:
             if member.ends_at is not None:
@@ -144,7 +146,7 @@
         run.ends_at = begin + int((run.plan.work_ms - done_ms) * self.factor)
 
     def _work_from(self, run: ModelRun) -> None:
-        """Let the base class count the work that was done by now."""
+        """Set `work_from` so that the base class computes the work done so far at reduced speed."""
         if run.task in self.slowed:
             begin, done_ms, factor = self.slowed[run.task]
             run.work_from = self.now - done_ms - int(max(0, self.now - begin) / factor)
@@ -162,7 +164,7 @@
 
     def _end(self, run: ModelRun, how: str) -> None:
         if run.task not in self.runs:
-            return  # broken by another member of its gang in the same moment
+            return  # already ended by another member of its gang at the same time
         plan = run.plan
         before = self._last_number
         others = self.world.gang(run.gang_key) if plan.gang > 1 else []
--- a/tests/system/jobs_world.py
+++ b/tests/system/jobs_world.py
@@ -1,7 +1,7 @@
-"""A small world in virtual time: the dispatcher, real agent cores, model workers, a store, a faulty network.
+"""Simulated system in virtual time: dispatcher, real agent cores, model workers, store and faulty network.
 
-Nothing sleeps and nothing is real: `World.run` plays events in order of time. `jobs_judge` looks only at what
-the model workers saw and what clients were told.
+There is no real time or I/O: `World.run` processes events in order of time. `jobs_judge` checks only what the
+model workers observed and what clients were answered.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteModel:
-    """A route, as the dispatcher reads it."""
+    """A configured route with the fields that the dispatcher uses."""
 
     name: str = "r-a"
     path_prefix: str = "/a/"
@@ -61,14 +61,14 @@
     routes: tuple[RouteModel, ...] = (RouteModel(),)
 
     def find_route(self, host: str, path: str) -> RouteModel | None:
-        """The longest prefix."""
+        """The route with the longest matching prefix."""
         found = [route for route in self.routes if host == HOST and path.startswith(route.path_prefix)]
         return max(found, key=lambda route: len(route.path_prefix), default=None)
 
 
 @dataclass
 class ClientAnswer:
-    """An answer that a client got."""
+    """An answer received by a client."""
 
     at: float
     job: str
@@ -77,7 +77,7 @@
 
 
 class World(Fleet):
-    """The whole system."""
+    """The simulated system."""
 
     def __init__(
         self,
@@ -107,13 +107,13 @@
 
     @property
     def listening(self) -> bool:
-        """Whether there is a dispatcher."""
+        """Whether a dispatcher is running."""
         return self.dispatcher is not None
 
     # Dispatcher
 
     def elect(self) -> None:
-        """A new dispatcher takes over what is durable."""
+        """Start a new dispatcher from the durable records."""
         self.epoch += 1
         self.term += 1
         dispatcher = Dispatcher(
@@ -133,7 +133,7 @@
             self.after(self.rng.uniform(5, 300), partial(self.link, machine))
 
     def fail_dispatcher(self) -> None:
-        """It dies; some of its writes became durable, always the first of them."""
+        """Kill the dispatcher; a random prefix of its outstanding writes becomes durable."""
         self.dispatcher = None
         self.term += 1
         kept = self.rng.randint(0, len(self.unwritten))
@@ -155,7 +155,7 @@
             self.after(self.rng.uniform(45, 55), partial(self._tick, term))
 
     def feed(self, event: Event) -> None:
-        """Give the dispatcher an event and carry out its effects."""
+        """Pass an event to the dispatcher and carry out its effects."""
         if self.dispatcher is None:
             return
         for effect in self.dispatcher.handle(self.steady, event):
@@ -188,14 +188,14 @@
     def submit(
         self, job: str, steps: Steps, plan: Callable[[str], RunPlan], route: str = "/a/", **fields: Any
     ) -> None:
-        """Hand a job in."""
+        """Submit a job."""
         body = {"spec": f"spec of {job}", "steps": steps, **fields}
         self.jobs.setdefault(job, body)
         self.plans.setdefault(job, plan)
         self.call(Method.SUBMIT, job, json.dumps(body).encode(), route)
 
     def call(self, method: Method, job: str, body: bytes = b"", route: str = "/a/") -> None:
-        """Make a call; it is not answered while there is no dispatcher."""
+        """Make a call; it is dropped while there is no dispatcher."""
         if self.dispatcher is None:
             return
         self.next_call += 1
@@ -214,29 +214,29 @@
         return self.told[-1].answer
 
     def state_of(self, job: str) -> str:
-        """What a client is told of the job."""
+        """The job's state as shown to a client, or the status code."""
         answer = self.ask(Method.STATUS, job)
         return json.loads(answer.body)["state"] if answer.status == 200 else str(answer.status)
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration."""
+        """Put a newer configuration into force."""
         self.configuration = configuration
         self.feed(ConfigurationChanged(configuration))
 
     def runs_of(self, task: str) -> list[ObservedRun]:
-        """What workers saw of a task."""
+        """The observed runs of a task."""
         return [seen for seen in self.seen if seen.task == task]
 
 
 def job_id(number: int) -> str:
-    """A job's id."""
+    """The id of the job with this number."""
     return f"{number:016x}"
 
 
 def simple(
     work_ms: int = 500, how: str = "done", checkpoints: bool = False, gang: int = 1
 ) -> Callable[[str], RunPlan]:
-    """All tasks alike."""
+    """The same plan for all tasks."""
     return lambda task: RunPlan(work_ms, how, checkpoints, gang)
 
 
--- a/tests/system/test_jobs_calm.py
+++ b/tests/system/test_jobs_calm.py
@@ -1,4 +1,4 @@
-"""Calm days with any mix of jobs: nothing ends alone, nothing waits beside free room, every job ends."""
+"""Random jobs without faults: no gang member ends alone, no rule is violated and every job ends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FaultFreeScenarios(unittest.TestCase):
-    """Without troubles."""
+    """Random jobs without faults."""
 
     @settings(
         max_examples=10,
@@ -24,7 +24,7 @@
         database=None,
     )
     @given(st.integers(0, 1_000_000))
-    def test_no_gang_waits_in_vain_and_every_job_ends(self, seed: int) -> None:
+    def test_no_gang_member_ends_alone_and_every_job_ends(self, seed: int) -> None:
         day = FaultScenario(seed)
         world, rng = day.world, day.rng
         world.run(1_200)
--- a/tests/system/test_jobs_distance.py
+++ b/tests/system/test_jobs_distance.py
@@ -1,4 +1,4 @@
-"""Work away from its data: it takes longer there, which speaks neither against its worker nor for a move."""
+"""Runs away from their data take longer; this must not make the worker look slow or cause a move."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from .jobs_world import World, job_id, simple
 
-FAR_X = 1.5  # of the world's bounds
+FAR_X = 1.5  # of the bounds in `World`
 WORK_MS = 1_000
 
 
@@ -29,7 +29,7 @@
         world.run(200)
         return runs_of(world, job_id(1))[0]
 
-    def test_a_run_in_the_rack_of_its_data_takes_what_was_estimated(self) -> None:
+    def test_a_run_in_the_rack_of_its_data_takes_the_estimated_time(self) -> None:
         self.assertEqual(WORK_MS, estimate_ms(self.place("rack-m1")))
 
     def test_a_run_elsewhere_is_expected_to_take_longer(self) -> None:
@@ -37,7 +37,7 @@
         self.assertEqual(FAR_X, run.duration_factor)
         self.assertEqual(FAR_X * WORK_MS, estimate_ms(run))
 
-    def test_half_of_the_longer_time_is_a_usual_pace(self) -> None:
+    def test_half_of_the_work_in_half_of_the_extended_time_is_the_usual_pace(self) -> None:
         run = self.place("rack-none")
         run.seen_running(10_000, 0)
         run.seen_running(10_000 + int(FAR_X * WORK_MS / 2), 50)
@@ -47,7 +47,7 @@
         self.assertAlmostEqual(1.0, pace, delta=0.1)
         self.assertAlmostEqual(FAR_X * WORK_MS / 2, left_ms(run, now_ms, 1.0), delta=100)
 
-    def test_a_successor_knows_which_runs_are_away_from_their_data(self) -> None:
+    def test_a_new_dispatcher_knows_which_runs_are_away_from_their_data(self) -> None:
         world = World(machines=2)
         world.elect()
         world.run(1_500)
--- a/tests/system/test_jobs_faults.py
+++ b/tests/system/test_jobs_faults.py
@@ -1,4 +1,4 @@
-"""Days with faults in virtual time: no rule may break, and every job comes to its end after the trouble."""
+"""Random faults in virtual time: no guarantee may be violated, and every job ends after the faults."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def random_plan(rng: random.Random, gang: int, checkpoints: bool, lasting: bool) -> RunPlan:
-    """What a run does; some fail."""
+    """A random run plan; some runs fail."""
     how = "failed" if rng.random() < (0.3 if lasting else 0.06) else "done"
     return RunPlan(rng.choice([120, 400, 900, 2_500, 6_000]), how, checkpoints, gang)
 
 
 class FaultScenario:
-    """A world, its jobs and its troubles, all drawn from a seed."""
+    """A world with jobs and faults, all drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -38,7 +38,7 @@
         self.number = 0
 
     def play(self) -> None:
-        """Jobs and troubles for a while, then calm."""
+        """Run jobs with faults for a while, then without faults."""
         world, rng = self.world, self.rng
         world.run(1_200)
         for _ in range(JOBS):
@@ -51,7 +51,7 @@
         world.run(60_000)
 
     def troubles(self) -> list[Callable[[], None]]:
-        """What may happen."""
+        """The faults to choose from."""
         return [
             self.kill_dispatcher,
             self.kill_dispatcher,
@@ -66,11 +66,11 @@
         ]
 
     def machine(self) -> Machine:
-        """Any machine."""
+        """A random machine."""
         return self.rng.choice(list(self.world.machines.values()))
 
     def submit(self) -> None:
-        """A job of any kind."""
+        """Submit a random job, some of them with repeated submissions and cancels."""
         world, rng = self.world, self.rng
         self.number += 1
         steps: list[dict[str, Any]] = []
@@ -114,30 +114,30 @@
             world.after(FAULT_PERIOD_MS + 15_000, partial(world.call, Method.CANCEL, job))
 
     def ask(self) -> None:
-        """Ask for a job's state."""
+        """Query the state of a random job."""
         if self.number:
             self.world.call(Method.STATUS, job_id(self.rng.randint(1, self.number)))
 
     def kill_dispatcher(self) -> None:
-        """It dies, and another takes over."""
+        """Kill the dispatcher; another one takes over."""
         if self.world.dispatcher is not None:
             self.world.fail_dispatcher()
             self.world.after(self.rng.uniform(900, 2_500), self.world.elect)
 
     def crash_worker(self) -> None:
-        """A worker dies."""
+        """Crash a worker."""
         machine = self.machine()
         if not machine.worker.dead:
             self.world.crash_worker(machine, self.rng.uniform(500, 4_000))
 
     def cut_agent(self) -> None:
-        """An agent does not reach the dispatcher."""
+        """Cut an agent off from the dispatcher."""
         machine = self.machine()
         self.world.set_cut(machine, True)
         self.world.after(self.rng.uniform(300, 12_000), partial(self.world.set_cut, machine, False))
 
     def cut_worker(self) -> None:
-        """An agent does not reach its worker."""
+        """Cut an agent off from its worker."""
         machine = self.machine()
         machine.worker_cut = True
         self.world.faults += 1
@@ -148,13 +148,13 @@
         self.world.after(self.rng.uniform(300, 14_000), end)
 
     def kill_agent(self) -> None:
-        """An agent is killed."""
+        """Kill an agent."""
         machine = self.machine()
         if machine.agent is not None:
             self.world.crash_agent(machine, self.rng.uniform(100, 4_000))
 
     def late_orders(self) -> None:
-        """Orders get no answer and are carried out later."""
+        """Leave orders unanswered and carry them out later."""
         machine = self.machine()
         machine.late_share = 0.5
         self.world.faults += 1
@@ -165,7 +165,7 @@
         self.world.after(self.rng.uniform(1_000, 6_000), end)
 
     def drain(self) -> None:
-        """A worker says that it leaves, and goes; another comes."""
+        """Drain a worker, then stop it; another one takes its place."""
         machine = self.machine()
         if machine.worker.dead or machine.worker.draining_since is not None:
             return
@@ -173,11 +173,11 @@
         self.world.after(4_500, partial(self.world.crash_worker, machine, 1_000))
 
     def stall(self) -> None:
-        """What a worker starts from now on stands still."""
+        """Stall the runs that a worker starts from now on."""
         self._slow_down(500.0)
 
     def slow(self) -> None:
-        """What a worker starts from now on takes longer."""
+        """Slow down the runs that a worker starts from now on."""
         self._slow_down(self.rng.uniform(3, 8))
 
     def _slow_down(self, factor: float) -> None:
@@ -198,7 +198,7 @@
 
 
 class FaultScenarios(unittest.TestCase):
-    """Any mix of troubles."""
+    """Random jobs with random faults."""
 
     @settings(
         max_examples=25,
@@ -208,7 +208,7 @@
         database=None,
     )
     @given(st.integers(0, 1_000_000))
-    def test_no_rule_breaks_and_every_job_ends(self, seed: int) -> None:
+    def test_no_guarantee_is_violated_and_every_job_ends(self, seed: int) -> None:
         day = FaultScenario(seed)
         day.play()
         self.assertEqual(Judge(day.world).check(), [])
--- a/tests/system/test_jobs_intake.py
+++ b/tests/system/test_jobs_intake.py
@@ -1,4 +1,4 @@
-"""Bodies, admission, terms and the durable form, without workers."""
+"""Job bodies, admission, terms and storage format, without workers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def body(*steps: dict[str, Any], **fields: Any) -> bytes:
-    """A job's body."""
+    """Encode a job's body."""
     return json.dumps({"spec": "s", "steps": list(steps), **fields}).encode()
 
 
@@ -41,20 +41,20 @@
 
 
 class Bodies(unittest.TestCase):
-    """Reading and checking."""
+    """Parsing and validation of bodies."""
 
-    def test_what_is_omitted_is_nothing(self) -> None:
+    def test_omitted_fields_have_empty_defaults(self) -> None:
         (step,) = read_job(body({"count": 3})).steps
         self.assertEqual((step.cpu, step.gpu, step.gang, step.needs, step.affinity), (0, 0, False, (), ""))
 
-    def test_unknown_fields_are_skipped(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         self.assertEqual(read_job(body({"count": 3, "later": [1]}, more={})).steps[0].count, 3)
 
-    def test_a_constraint_is_a_label_or_several(self) -> None:
+    def test_constraints_are_one_label_or_a_list(self) -> None:
         self.assertEqual(read_job(body({"count": 1, "constraints": "a"})).steps[0].needs, ("a",))
         self.assertEqual(read_job(body({"count": 1, "constraints": ["a", "b"]})).steps[0].needs, ("a", "b"))
 
-    def test_every_malformed_body_says_why(self) -> None:
+    def test_every_malformed_body_raises_with_its_reason(self) -> None:
         cases = {
             b"": "truncated",
             b"{": "truncated",
@@ -79,7 +79,7 @@
             self.assertIn(reason, str(raised.exception))
 
     @given(st.binary(max_size=200))
-    def test_no_bytes_raise_anything_else(self, data: bytes) -> None:
+    def test_arbitrary_bytes_raise_only_malformed_job(self, data: bytes) -> None:
         with contextlib.suppress(MalformedJob):
             read_job(data)
 
@@ -96,14 +96,14 @@
 
 
 class DurableForm(unittest.TestCase):
-    """Records and names."""
+    """Encoding of records and task names."""
 
-    def test_a_task_s_name_is_read_back(self) -> None:
+    def test_a_task_name_is_parsed(self) -> None:
         name = parse_task(f"{job_id(5)}.3.2.17")
         self.assertEqual((name.job, name.occurrence, name.step, name.index), (job_id(5), 3, 2, 17))
 
     @given(st.integers(0, 9), st.booleans(), st.lists(st.integers(1, 9), max_size=4), st.text(max_size=20))
-    def test_a_record_is_read_back(self, last: int, done: bool, failed: list[int], saved: str) -> None:
+    def test_a_record_round_trips(self, last: int, done: bool, failed: list[int], saved: str) -> None:
         record = TaskRecord(last, done, tuple(failed), saved, ())
         self.assertEqual(decode(encode(record)), record)
 
@@ -118,7 +118,7 @@
         self.elect(1)
 
     def elect(self, epoch: int) -> None:
-        """A new dispatcher takes over what is durable."""
+        """Start a new dispatcher from the durable records."""
         self.answers: dict[int, JobAnswer] = {}
         self.pending: list[Write] = []
         self.dispatcher = Dispatcher(
@@ -128,7 +128,7 @@
         self.handle(Tick(WALL_0 + self.now))
 
     def handle(self, event: Event) -> list[Effect]:
-        """Take in an event."""
+        """Process an event and collect its effects."""
         effects = self.dispatcher.handle(self.now, event)
         for effect in effects:
             if isinstance(effect, Answer):
@@ -138,12 +138,12 @@
         return effects
 
     def call(self, number: int, method: Method, job: str, data: bytes = b"") -> int:
-        """The status that is answered before any write, or 0."""
+        """Make a call; returns the status answered before any write, or 0."""
         self.handle(CallArrived(number, JobCall(method, HOST, "/a/" + job, data, 0)))
         return self.answers[number].status if number in self.answers else 0
 
     def make_durable(self) -> None:
-        """All writes."""
+        """Make all pending writes durable."""
         while self.pending:
             write = self.pending.pop(0)
             for key, value in write.changes:
@@ -153,12 +153,12 @@
                     self.items[key] = value
             self.handle(Written(write.write))
 
-    def test_200_waits_for_the_write(self) -> None:
+    def test_200_is_answered_after_the_write(self) -> None:
         self.assertEqual(self.call(1, Method.SUBMIT, job_id(1), GOOD), 0)
         self.make_durable()
         self.assertEqual(self.answers[1].status, 200)
 
-    def test_the_same_id_is_the_same_job_while_it_is_written_and_after(self) -> None:
+    def test_a_repeated_id_is_the_same_job_during_and_after_its_write(self) -> None:
         self.call(1, Method.SUBMIT, job_id(1), GOOD)
         self.assertEqual(self.call(2, Method.SUBMIT, job_id(1), GOOD), 0)
         self.make_durable()
@@ -167,7 +167,7 @@
         self.call(4, Method.COUNT, "")
         self.assertEqual(self.answers[4].body, b'{"pending":1}')
 
-    def test_a_refused_id_leaves_nothing_behind(self) -> None:
+    def test_a_rejected_id_leaves_no_record(self) -> None:
         for number in range(1, 4):
             self.call(number, Method.SUBMIT, job_id(number), GOOD)
         self.assertEqual(self.call(4, Method.SUBMIT, job_id(4), GOOD), 429)
@@ -176,15 +176,15 @@
         self.assertEqual(self.call(5, Method.STATUS, job_id(4)), 410)
         self.assertFalse(any(job_id(4).encode() in key for key in self.items))
 
-    def test_a_malformed_body_is_refused_with_its_reason(self) -> None:
+    def test_a_malformed_body_is_rejected_with_its_reason(self) -> None:
         self.assertEqual(self.call(1, Method.SUBMIT, job_id(1), b"{}"), 400)
         self.assertIn("steps", json.loads(self.answers[1].body)["error"])
 
-    def test_an_id_is_16_hex_digits(self) -> None:
+    def test_an_id_must_be_16_hex_digits(self) -> None:
         self.assertEqual(self.call(1, Method.SUBMIT, "12", GOOD), 400)
         self.assertEqual(self.call(2, Method.CANCEL, "12"), 400)
 
-    def test_a_cancel_is_answered_once_it_is_durable_and_stands(self) -> None:
+    def test_a_cancel_is_answered_once_durable_and_survives_a_takeover(self) -> None:
         self.call(1, Method.SUBMIT, job_id(1), GOOD)
         self.make_durable()
         self.assertEqual(self.call(2, Method.CANCEL, job_id(1)), 0)
@@ -196,7 +196,7 @@
         self.call(4, Method.STATUS, job_id(1))
         self.assertEqual(self.answers[4].body, b'{"state":"cancelled"}')
 
-    def test_a_successor_goes_on_with_an_accepted_job(self) -> None:
+    def test_a_new_dispatcher_continues_an_accepted_job(self) -> None:
         self.call(1, Method.SUBMIT, job_id(1), GOOD)
         self.make_durable()
         self.elect(2)
@@ -219,12 +219,14 @@
         self.assertEqual(self.call(4, Method.STATUS, job_id(1)), 410)
         self.assertEqual(self.items, {})
 
-    def test_work_beyond_the_stated_time_is_refused(self) -> None:
+    def test_work_beyond_the_backlog_limit_is_rejected(self) -> None:
         self.handle(ReportArrived(report()))
         self.bounds = DispatcherBounds()
         self.elect(2)
         self.handle(ReportArrived(report()))
-        long = body({"count": 100, "cpu": 1_000, "estimateMs": 2_000})  # 50 s of a worker of 4 cores
+        long = body(
+            {"count": 100, "cpu": 1_000, "estimateMs": 2_000}
+        )  # 50 s of work for a worker with 4 cores
         self.call(1, Method.SUBMIT, job_id(1), long)
         self.make_durable()
         self.assertEqual(self.answers[1].status, 200)
@@ -233,7 +235,7 @@
         self.make_durable()
         self.assertEqual(self.call(4, Method.SUBMIT, job_id(3), GOOD), 0)
 
-    def test_bytes_that_are_no_record_do_not_stop_a_takeover(self) -> None:
+    def test_invalid_records_do_not_prevent_a_takeover(self) -> None:
         self.call(1, Method.SUBMIT, job_id(1), GOOD)
         self.make_durable()
         self.items[b"jx"] = b"\xff\xff"
--- a/tests/system/test_jobs_listings.py
+++ b/tests/system/test_jobs_listings.py
@@ -1,4 +1,4 @@
-"""What a report's two lists mean, one report at a time."""
+"""Processing of the lists of running and ended runs, one report at a time."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Listings(unittest.TestCase):
-    """One worker, one task."""
+    """Listings of one worker with one task."""
 
     def setUp(self) -> None:
         self.now = 1_000
@@ -52,7 +52,7 @@
         self.handle(CallArrived(1, JobCall(Method.SUBMIT, HOST, "/a/" + job_id(1), body(step), 0)))
 
     def elect(self, epoch: int) -> None:
-        """A dispatcher that takes over what is durable."""
+        """Start a dispatcher from the durable records."""
         self.starts: list[StartOrder] = []
         self.stops: list[StopOrder] = []
         self.last_seen = 0
@@ -64,7 +64,7 @@
         self.handle(Tick(WALL_0))
 
     def handle(self, event: Event) -> None:
-        """Take in an event, and make all writes durable."""
+        """Process an event, and make all writes durable."""
         waiting: list[Effect] = self.dispatcher.handle(self.now, event)
         while waiting:
             effect = waiting.pop(0)
@@ -82,29 +82,29 @@
                 waiting += self.dispatcher.handle(self.now, Written(effect.write))
 
     def send(self, told: AgentReport, **changes: object) -> None:
-        """A report comes in."""
+        """Deliver a report."""
         self.now = max(self.now, 990 + told.stamp_ms)
         self.handle(ReportArrived(replace(told, **changes)))  # type: ignore[arg-type]
 
     def answered(self, outcome: Outcome, stamp: int, order: int | None = None) -> tuple[OrderResult, ...]:
-        """What became of the newest start, or of this order."""
+        """An order result for the newest start order, or for `order`."""
         return (OrderResult(order or self.starts[-1].order, outcome, stamp),)
 
     def started(self) -> list[int]:
-        """The runs that were ordered."""
+        """Numbers of the runs in start orders."""
         return [start.run for start in self.starts]
 
     def test_a_run_is_ordered_after_its_placement(self) -> None:
         self.assertEqual(self.started(), [1])
 
-    def test_an_end_is_done_with_once_written(self) -> None:
+    def test_an_end_is_acknowledged_once_durable(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         self.send(report(900), finished=(End(1, TASK, 1, How.DONE, ""),))
         self.send(report(1_000))
         self.assertEqual(self.last_seen, 1)
         self.assertEqual(self.started(), [1])
 
-    def test_a_run_that_no_listing_names_has_vanished_only_after_the_time_of_a_stop(self) -> None:
+    def test_an_unlisted_run_has_vanished_only_after_the_time_of_a_stop(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         self.send(report(300), listing_stamp=290)
         self.assertEqual(self.started(), [1])
@@ -114,18 +114,18 @@
         self.handle(Tick(WALL_0))
         self.assertEqual(self.started(), [1, 2])
 
-    def test_a_listing_under_an_older_fence_proves_nothing(self) -> None:
+    def test_a_listing_under_an_older_fence_is_no_evidence(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         self.send(report(900), fenced_epoch=EPOCH - 1)
         self.assertEqual(self.started(), [1])
 
-    def test_an_order_without_an_answer_may_still_be_carried_out(self) -> None:
+    def test_an_unanswered_order_is_repeated_and_the_run_is_not_replaced(self) -> None:
         self.send(report(3_000))
         self.now += 1_000
         self.handle(Tick(WALL_0))
         self.assertEqual({(start.run, start.order) for start in self.starts}, {(1, self.starts[0].order)})
 
-    def test_an_order_in_doubt_is_barred_before_the_task_is_placed_again(self) -> None:
+    def test_a_start_with_unknown_outcome_is_stopped_before_the_task_is_placed_again(self) -> None:
         self.send(report(100), results=self.answered(Outcome.UNKNOWN, 90))
         self.assertEqual([(stop.task, stop.run) for stop in self.stops], [(TASK, 1)])
         self.send(report(1_000))
@@ -137,31 +137,31 @@
             self.handle(Tick(WALL_0))
         self.assertEqual(self.started(), [1, 2])
 
-    def test_a_refusal_in_one_life_of_the_agent_frees_the_run_at_once(self) -> None:
+    def test_a_refusal_without_a_restart_of_the_agent_frees_the_run_immediately(self) -> None:
         self.send(report(100), results=self.answered(Outcome.ROOM, 90))
         self.assertEqual(self.stops, [])
         self.now += 200
         self.handle(Tick(WALL_0))
         self.assertEqual(self.started(), [1, 2])
 
-    def test_a_refusal_after_a_restart_of_the_agent_does_not(self) -> None:
+    def test_a_refusal_after_a_restart_of_the_agent_stops_the_run_first(self) -> None:
         self.handle(AgentLost("m-1"))
         self.send(report(100), boot=8)
         self.assertEqual(self.started(), [1, 1])
         self.send(report(200), boot=8, results=self.answered(Outcome.ROOM, 190))
         self.assertEqual([stop.run for stop in self.stops], [1])
 
-    def test_another_incarnation_frees_all_runs_of_the_one_before(self) -> None:
+    def test_another_incarnation_frees_all_runs_of_the_earlier_one(self) -> None:
         told = report(100)
         assert told.worker is not None
         self.send(told, worker=replace(told.worker, instance="i-2"), listing_stamp=-1)
         self.now += 300
         self.handle(Tick(WALL_0))
         self.assertEqual(self.started(), [1, 2])
-        self.send(report(200))  # a late word of the one that is gone
+        self.send(report(200))  # a delayed report of the earlier incarnation
         self.assertEqual(self.started(), [1, 2])
 
-    def test_a_silent_worker_is_empty_once_its_hold_is_over_for_certain(self) -> None:
+    def test_a_silent_worker_is_empty_once_its_hold_has_certainly_expired(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         self.handle(AgentLost("m-1"))
         self.now += 5_350
@@ -182,7 +182,7 @@
         self.assertEqual(self.granted, self.now - 990)
         self.assertEqual(self.started(), [1, 2])
 
-    def test_an_end_beyond_a_missing_one_counts_but_last_seen_waits(self) -> None:
+    def test_an_end_after_a_gap_counts_but_last_seen_stops_at_the_gap(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         ends = (End(4, "x.0.0.0", 1, How.DONE, ""), End(9, TASK, 1, How.DONE, ""))
         self.send(report(900), finished=ends)
@@ -190,12 +190,12 @@
         self.assertEqual(self.last_seen, 4)
         self.assertEqual(self.started(), [1])
 
-    def test_a_run_that_nobody_knows_is_stopped_and_no_task_placed_beside_it(self) -> None:
+    def test_an_unknown_run_is_stopped(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
         self.send(report(700), running=(Run(TASK, 1, "", 1), Run(f"{job_id(7)}.0.0.0", 3, "", 1)))
         self.assertEqual([(stop.task, stop.run) for stop in self.stops], [(f"{job_id(7)}.0.0.0", 3)])
 
-    def test_a_successor_goes_on_with_a_run_that_is_listed(self) -> None:
+    def test_a_new_dispatcher_keeps_a_listed_run(self) -> None:
         self.elect(EPOCH + 1)
         self.send(report(700), running=(Run(TASK, 1, "", 1),))
         self.assertEqual(self.starts, [])
@@ -203,12 +203,12 @@
         self.send(report(1_300), fenced_epoch=EPOCH + 1)
         self.assertEqual(self.last_seen, 1)
 
-    def test_a_successor_orders_a_run_again_that_is_not_listed(self) -> None:
+    def test_a_new_dispatcher_orders_an_unlisted_run_again(self) -> None:
         self.elect(EPOCH + 1)
         self.send(report(700))
         self.assertEqual(self.started(), [1])
 
-    def test_answers_to_a_predecessor_s_orders_mean_nothing_to_its_successor(self) -> None:
+    def test_a_new_dispatcher_ignores_results_of_earlier_orders(self) -> None:
         before = self.starts[-1].order
         self.elect(EPOCH + 1)
         self.send(report(700))
--- a/tests/system/test_jobs_long_history.py
+++ b/tests/system/test_jobs_long_history.py
@@ -1,4 +1,4 @@
-"""Many jobs in one history: what is kept in the store stays bounded, and a store near its bound recovers."""
+"""Many jobs in sequence: the stored size stays bounded, and a store near its limit recovers."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 JOBS = 20_000
 JOBS_PER_BATCH = 20
-BATCH_PERIOD_MS = 500.0  # 40 jobs a second
+BATCH_PERIOD_MS = 500.0  # 40 jobs per second
 TAKEOVER_EVERY = 2_500  # jobs
 STATUS_S = 10
-MAX_STORE_BYTES = 400_000  # of 1,200 ended jobs and some tens of active ones
+MAX_STORE_BYTES = 400_000  # for 1,200 ended jobs and some tens of active ones
 SPEC_BYTES = 2_000
-TASKS = 12  # of a job
+TASKS = 12  # per job
 MAX_SUBMISSIONS = 1_000
 
 
 def stored_bytes(world: World) -> int:
-    """What the dispatcher's records take in a replica's store."""
+    """Size of the dispatcher's records in a replica's store."""
     return sum(entry_bytes(key, value) for key, value in world.store.items())
 
 
 class TwentyThousandJobs(unittest.TestCase):
-    """With changes of the dispatcher in between."""
+    """20,000 jobs with several changes of the dispatcher."""
 
-    def test_the_store_stays_bounded_and_every_job_is_done_once(self) -> None:
+    def test_the_store_stays_bounded_and_every_accepted_job_is_done(self) -> None:
         world = World(seed=5, machines=4, cpu=16_000)
         world.bounds = replace(world.bounds, status_s=STATUS_S)
         world.elect()
@@ -64,7 +64,7 @@
 
 
 class StoreNearItsBound(unittest.TestCase):
-    """Work comes while there is no worker, until the store has no room for more."""
+    """Jobs are submitted without any worker until the store is full."""
 
     def setUp(self) -> None:
         self.bound = content_bound(1 * MEGABYTE)
@@ -74,7 +74,7 @@
         self.world.run(2_000)
 
     def fill(self, first: int = 0) -> int:
-        """Hand jobs in until one is refused; returns how many were accepted."""
+        """Submit jobs until one is rejected; returns the number accepted."""
         for number in range(first, first + MAX_SUBMISSIONS):
             answer = self.submit_job(job_id(number))
             if answer.status != 200:
@@ -83,13 +83,13 @@
         raise AssertionError("nothing was refused")
 
     def submit_job(self, job: str) -> JobAnswer:
-        """Submit a job of some tasks."""
+        """Submit a job with `TASKS` tasks."""
         steps = [{"count": TASKS, "cpu": 100, "memMb": 10, "estimateMs": 500}]
         body = json.dumps({"spec": "s" * SPEC_BYTES, "steps": steps}).encode()
         self.world.plans.setdefault(job, simple(500))
         return self.world.ask(Method.SUBMIT, job, body=body)
 
-    def test_jobs_are_refused_in_time_and_what_was_accepted_is_done_within_the_bound(self) -> None:
+    def test_jobs_are_rejected_in_time_and_accepted_ones_complete_within_the_limit(self) -> None:
         accepted = self.fill()
         self.assertGreater(accepted, 10)
         largest = stored_bytes(self.world)
@@ -106,7 +106,7 @@
         self.world.run(20_000)
         self.assertEqual(accepted, self.fill(accepted))
 
-    def test_a_new_dispatcher_counts_the_same(self) -> None:
+    def test_a_new_dispatcher_computes_the_same_kept_bytes(self) -> None:
         self.fill()
         assert self.world.dispatcher is not None
         counted = self.world.dispatcher.state.kept_bytes
@@ -115,8 +115,8 @@
         assert self.world.dispatcher is not None
         self.assertEqual(counted, self.world.dispatcher.state.kept_bytes)
 
-    def test_without_tasks_in_the_count_the_store_would_be_full(self) -> None:
-        """The line of defence: the records of tasks that are yet to be placed have their room beforehand."""
+    def test_without_reserved_task_records_the_store_exceeds_its_limit(self) -> None:
+        """Admission must reserve space for the records of tasks that are not placed yet."""
         with mock.patch.object(durable, "most_bytes", lambda body, tasks, timed: len(body)):
             self.fill()
         for name in ("m0", "m1", "m2"):
@@ -129,22 +129,22 @@
 
 
 def node_settings(data_dir: str | None, limits: Limits) -> NodeSettings:
-    """The settings of a replica's process."""
+    """Settings of a replica's process."""
     return NodeSettings(
         "frontend-a-1", "scheduler", "10.1.0.1", "a", (7_000, 7_015), data_dir=data_dir, limits=limits
     )
 
 
 class BoundFromSettings(unittest.TestCase):
-    """What the settings of a process say."""
+    """The limit derived from the settings of a process."""
 
-    def test_it_leaves_room_in_the_replicas_store(self) -> None:
+    def test_the_limit_fits_into_the_replicas_store(self) -> None:
         for disk_mb in (32, 128, 192):
             settings = node_settings("/data", Limits(disk_mb=disk_mb))
             bounds = dispatcher_bounds(settings)
             self.assertLess(bounds.max_kept_bytes, content_bound(disk_mb * MEGABYTE))
 
-    def test_without_a_disk_it_is_a_part_of_the_memory(self) -> None:
+    def test_without_a_disk_the_limit_is_a_share_of_the_memory(self) -> None:
         settings = node_settings(None, Limits(memory_mb=320))
         self.assertEqual(20 * MEGABYTE, dispatcher_bounds(settings).max_kept_bytes)
 
--- a/tests/system/test_jobs_moves.py
+++ b/tests/system/test_jobs_moves.py
@@ -1,4 +1,4 @@
-"""Stalled, slow and leaving workers, copies, preemption and reservations, in virtual time."""
+"""Stalled, slow and draining workers, copies, preemption and reservations, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Moves(unittest.TestCase):
-    """What the dispatcher stops in order to place it elsewhere."""
+    """Runs that the dispatcher stops in order to place their tasks elsewhere."""
 
     def setUp(self) -> None:
         self.world = World(machines=3)
@@ -25,7 +25,7 @@
     def tearDown(self) -> None:
         self.assertEqual(Judge(self.world).check(), [])
 
-    def test_a_run_that_stands_still_while_others_do_not_is_placed_elsewhere(self) -> None:
+    def test_a_stalled_run_is_moved_while_others_make_progress(self) -> None:
         self.world.machines["m0"].worker.factor = 1_000.0
         steps: Steps = [{"count": 9, "cpu": 1_000, "memMb": 100, "estimateMs": 2_000}]
         self.world.submit(job_id(1), steps, simple(2_000))
@@ -35,7 +35,7 @@
         self.assertTrue(stalled)
         self.assertEqual({seen.worker.machine for seen in stalled}, {"m0"})
 
-    def test_a_member_that_waits_for_slower_ones_of_its_gang_does_not_stand_still(self) -> None:
+    def test_a_member_that_waits_for_its_gang_is_not_stalled(self) -> None:
         self.world.machines["m0"].worker.factor = 2.0
         steps: Steps = [{"count": 3, "cpu": 4_000, "memMb": 100, "estimateMs": 9_000, "gang": True}]
         self.world.submit(job_id(1), steps, simple(9_000, gang=3))
@@ -44,7 +44,7 @@
         self.assertEqual({seen.how for seen in self.world.seen}, {"done"})
         self.assertEqual({seen.run for seen in self.world.seen}, {1})
 
-    def test_nothing_is_moved_while_everything_stands_still(self) -> None:
+    def test_nothing_is_moved_while_all_runs_are_stalled(self) -> None:
         for machine in self.world.machines.values():
             machine.worker.factor = 1_000.0
         steps: Steps = [{"count": 9, "cpu": 1_000, "memMb": 100, "estimateMs": 2_000}]
@@ -52,7 +52,7 @@
         self.world.run(9_000)
         self.assertEqual({seen.how for seen in self.world.seen}, {""})
 
-    def test_a_checkpoint_is_brought_along(self) -> None:
+    def test_a_moved_task_continues_from_its_checkpoint(self) -> None:
         steps: Steps = [{"count": 1, "cpu": 4_000, "memMb": 100, "estimateMs": 6_000, "checkpoints": True}]
         self.world.submit(job_id(2), steps, simple(6_000, checkpoints=True))
         self.world.run(2_500)
@@ -64,7 +64,7 @@
         self.assertEqual((first.how, first.run, second.run), ("stopped", 1, 2))
         self.assertGreater(int(second.checkpoint, 16), 1_500)
 
-    def test_a_lasting_task_moves_away_from_a_worker_that_leaves(self) -> None:
+    def test_a_long_running_task_is_moved_off_a_draining_worker(self) -> None:
         steps: Steps = [{"count": 1, "cpu": 1_000, "memMb": 100, "longRunning": True}]
         self.world.submit(job_id(3), steps, simple(0))
         self.world.run(1_000)
@@ -75,7 +75,7 @@
         self.assertLess(second.start - (first.end or 0), 600)
         self.assertNotEqual(first.worker, second.worker)
 
-    def test_a_task_that_ends_in_time_stays_on_a_worker_that_leaves(self) -> None:
+    def test_a_task_that_ends_in_time_stays_on_a_draining_worker(self) -> None:
         steps: Steps = [{"count": 1, "cpu": 1_000, "memMb": 100, "estimateMs": 1_500}]
         self.world.submit(job_id(4), steps, simple(1_500))
         self.world.run(500)
@@ -98,7 +98,7 @@
 
 
 class PriorityTests(unittest.TestCase):
-    """Priorities and room."""
+    """Priorities and capacity."""
 
     def setUp(self) -> None:
         self.world = World(machines=2)
@@ -113,7 +113,7 @@
     def tearDown(self) -> None:
         self.assertEqual(Judge(self.world).check(), [])
 
-    def test_an_urgent_task_preempts_one_that_saves_its_work(self) -> None:
+    def test_an_urgent_task_preempts_one_with_checkpoints(self) -> None:
         steps: Steps = [{"count": 2, "cpu": 4_000, "memMb": 100, "estimateMs": 20_000, "checkpoints": True}]
         self.world.submit(job_id(1), steps, simple(20_000, checkpoints=True))
         self.world.run(5_000)
@@ -132,7 +132,7 @@
         self.world.run(30_000)
         self.assertEqual(self.world.state_of(job_id(1)), "completed")
 
-    def test_work_that_is_not_saved_is_not_stopped(self) -> None:
+    def test_unsaved_work_is_not_preempted(self) -> None:
         steps: Steps = [{"count": 2, "cpu": 4_000, "memMb": 100, "estimateMs": 8_000}]
         self.world.submit(job_id(1), steps, simple(8_000))
         self.world.run(5_000)
@@ -141,7 +141,7 @@
         self.world.run(20_000)
         self.assertEqual({seen.how for seen in self.world.seen}, {"done"})
 
-    def test_a_large_gang_is_given_room_among_small_tasks(self) -> None:
+    def test_a_large_gang_gets_capacity_among_small_tasks(self) -> None:
         for number in range(1, 40):
             small: Steps = [{"count": 4, "cpu": 1_000, "memMb": 100, "estimateMs": 700}]
             self.world.after(number * 350, partial(self.world.submit, job_id(number), small, simple(700)))
@@ -153,9 +153,9 @@
 
 
 class SilentWorkers(unittest.TestCase):
-    """Workers that answer nothing any more while their agents live on."""
+    """Workers that stop answering while their agents keep running."""
 
-    def test_the_tasks_of_a_worker_that_vanishes_are_elsewhere_within_eight_seconds(self) -> None:
+    def test_tasks_of_an_unreachable_worker_run_elsewhere_within_eight_seconds(self) -> None:
         for seed in range(1, 7):
             with self.subTest(seed=seed):
                 world = World(seed=seed, machines=4, hold_max_ms=10_000)
@@ -172,7 +172,7 @@
                 self.assertEqual(len(world.seen), 8 + there)
                 self.assertEqual(Judge(world).check(), [])
 
-    def test_a_sound_worker_that_has_no_ends_to_tell_is_always_ready(self) -> None:
+    def test_a_healthy_worker_without_ends_to_report_is_always_ready(self) -> None:
         world = World(machines=3, hold_max_ms=10_000)
         world.elect()
         world.run(1_500)
@@ -186,7 +186,7 @@
 
 
 class Places(unittest.TestCase):
-    """Where tasks may run."""
+    """Placement constraints."""
 
     def setUp(self) -> None:
         self.world = World(machines=3)
@@ -196,20 +196,20 @@
     def tearDown(self) -> None:
         self.assertEqual(Judge(self.world).check(), [])
 
-    def test_a_label_is_kept_to(self) -> None:
+    def test_tasks_run_only_on_workers_with_the_label(self) -> None:
         steps: Steps = [{"count": 6, "cpu": 1_000, "estimateMs": 300, "constraints": "rack-m1"}]
         self.world.submit(job_id(1), steps, simple(300))
         self.world.run(3_000)
         self.assertEqual(self.world.state_of(job_id(1)), "completed")
         self.assertEqual({seen.worker.machine for seen in self.world.seen}, {"m1"})
 
-    def test_a_label_that_nobody_carries_is_waited_for(self) -> None:
+    def test_a_task_waits_for_a_label_that_no_worker_has(self) -> None:
         self.world.submit(job_id(1), [{"count": 1, "cpu": 1_000, "constraints": "z"}], simple())
         self.world.run(6_000)
         self.assertEqual(self.world.seen, [])
         self.assertEqual(self.world.state_of(job_id(1)), "queued")
 
-    def test_one_worker_holds_at_most_so_many_tasks_of_a_step(self) -> None:
+    def test_anti_affinity_limits_the_tasks_of_a_step_per_worker(self) -> None:
         steps: Steps = [{"count": 7, "cpu": 500, "estimateMs": 900, "antiAffinity": 1}]
         self.world.submit(job_id(1), steps, simple(900))
         self.world.run(1_000)
@@ -217,8 +217,8 @@
         self.world.run(5_000)
         self.assertEqual(self.world.state_of(job_id(1)), "completed")
 
-    def test_work_waits_for_the_rack_of_its_data_while_that_is_cheaper(self) -> None:
-        """Four fit there; two more may expect room within the 1,000 ms that running far costs, two not."""
+    def test_tasks_wait_for_the_rack_of_their_data_while_that_is_cheaper(self) -> None:
+        """Four fit there; two more expect room within the 1,000 ms that running elsewhere adds, two don't."""
         steps: Steps = [{"count": 8, "cpu": 1_000, "estimateMs": 2_000, "affinity": "rack-m2"}]
         self.world.submit(job_id(1), steps, simple(2_000))
         self.world.run(300)
@@ -226,17 +226,17 @@
         self.assertEqual((machines.count("m2"), len(machines)), (4, 6))
         self.world.run(500)
         self.assertEqual(len(self.world.seen), 6)
-        self.world.run(500)  # the wait is over, and nothing has ended in the rack
+        self.world.run(500)  # the wait has expired, and no run has ended in the rack
         self.assertEqual(len(self.world.seen), 8)
 
-    def test_a_rack_that_nobody_stands_in_is_not_waited_for(self) -> None:
+    def test_tasks_do_not_wait_for_a_rack_without_workers(self) -> None:
         steps: Steps = [{"count": 2, "cpu": 1_000, "estimateMs": 2_000, "affinity": "rack-none"}]
         self.world.submit(job_id(1), steps, simple(300))
         self.world.run(200)
         self.assertEqual(len(self.world.seen), 2)
 
-    def test_what_waits_ahead_counts_for_later_jobs(self) -> None:
-        """The rack is full and two tasks wait for it: a third would wait longer than running far costs."""
+    def test_tasks_that_wait_for_a_rack_count_against_later_jobs(self) -> None:
+        """The rack is full and two tasks wait: a third would wait longer than running elsewhere adds."""
         steps: Steps = [{"count": 6, "cpu": 1_000, "estimateMs": 2_000, "affinity": "rack-m2"}]
         self.world.submit(job_id(1), steps, simple(2_000))
         self.world.run(200)
@@ -246,7 +246,7 @@
         last = self.world.seen[-1]
         self.assertEqual((last.task, last.worker.machine != "m2"), (f"{job_id(2)}.0.0.0", True))
 
-    def test_a_queue_that_is_sent_to_another_service_has_its_next_runs_there(self) -> None:
+    def test_a_queue_routed_to_another_service_runs_its_tasks_there(self) -> None:
         self.world.submit(job_id(1), [{"count": 1, "cpu": 1_000, "constraints": "z"}], simple())
         self.world.run(500)
         self.world.configure(ConfigurationModel(2, (RouteModel(service="other"),)))
@@ -261,7 +261,7 @@
 
 
 class AlwaysWaitPolicy(Market):
-    """A policy that would always rather wait."""
+    """A placement policy that never chooses a worker."""
 
     def choose(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
         """Never."""
@@ -275,9 +275,9 @@
 
 
 class FreeRoom(unittest.TestCase):
-    """A task whose turn has come does not wait for 3 s beside free room, whatever the policy thinks."""
+    """A ready task does not wait for 3 s beside free capacity, whatever the policy chooses."""
 
-    def test_tasks_and_gangs_are_placed_by_room_alone_after_a_while(self) -> None:
+    def test_tasks_and_gangs_are_placed_by_capacity_alone_after_a_wait(self) -> None:
         world = World(machines=2, placement=AlwaysWaitPolicy)
         world.elect()
         world.run(1_500)
--- a/tests/system/test_jobs_patience.py
+++ b/tests/system/test_jobs_patience.py
@@ -1,4 +1,4 @@
-"""How late an end may be learned: the dispatcher tells it, and the agent gathers ends so long."""
+"""Patience: the dispatcher computes how late ends may be reported, and the agent collects ends that long."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DispatcherPatience(unittest.TestCase):
-    """What the dispatcher tells."""
+    """The patience that the dispatcher computes."""
 
     def world(self, extension: float = 1.5, target_ms: int = 1_000) -> World:
         world = World(machines=1)
@@ -43,39 +43,39 @@
         world.submit(job_id(1), steps, simple(30_000))
         world.run(200)
 
-    def test_a_worker_without_runs_has_all_the_time(self) -> None:
+    def test_a_worker_without_runs_has_the_longest_patience(self) -> None:
         self.assertEqual(MAX_PATIENCE_MS, self.patience(self.world()))
 
-    def test_a_part_of_the_time_until_the_objective_is_missed(self) -> None:
+    def test_patience_is_a_share_of_the_slack(self) -> None:
         world = self.world()
-        self.submit(world)  # 1,500 ms of slack when it began, 200 ms ago
+        self.submit(world)  # 1,500 ms of slack at its start, 200 ms ago
         self.assertAlmostEqual(SLACK_SHARE * 1_500, self.patience(world), delta=75)
 
-    def test_little_time_where_the_objective_is_near(self) -> None:
+    def test_patience_is_short_near_the_objective(self) -> None:
         world = self.world(extension=1.0, target_ms=250)
         self.submit(world)
         self.assertLessEqual(self.patience(world), 100)
         self.assertGreaterEqual(self.patience(world), MIN_PATIENCE_MS)
 
-    def test_a_late_job_is_measured_by_the_time_until_it_earns_nothing(self) -> None:
+    def test_patience_of_a_late_job_depends_on_when_it_earns_nothing(self) -> None:
         world = self.world(extension=1.0, target_ms=100)
-        self.submit(world)  # 1,100 ms are missed; 3,300 ms are left for the smaller worth
+        self.submit(world)  # misses its objective of 1,100 ms; earns a smaller amount until 3,300 ms
         self.assertAlmostEqual(SLACK_SHARE * 2_200, self.patience(world), delta=75)
 
-    def test_all_the_time_where_nothing_can_be_earned_any_more(self) -> None:
+    def test_patience_is_longest_once_a_job_earns_nothing(self) -> None:
         world = self.world()
         self.submit(world)
         world.run(15_000)
         self.assertEqual(MAX_PATIENCE_MS, self.patience(world))
 
-    def test_little_time_where_tasks_wait_for_room(self) -> None:
+    def test_patience_is_short_while_tasks_wait_for_capacity(self) -> None:
         world = self.world(extension=9.0, target_ms=60_000)
         self.submit(world, count=9)
         self.assertEqual(ROOM_WAIT_PATIENCE_MS, self.patience(world))
 
 
 class AgentPatience(unittest.TestCase):
-    """What the agent makes of it."""
+    """How the agent applies the patience."""
 
     def after_an_end(self, patience_ms: int) -> HoldSchedule:
         holds = HoldSchedule(random.Random(1), WorkerClock(), Grant(), settle_ms=100)
@@ -84,14 +84,14 @@
         holds.answered(500, 1, Answer(AnswerKind.OK, 500), news=True)
         return holds
 
-    def test_ends_are_gathered_as_long_as_was_told(self) -> None:
+    def test_ends_are_gathered_for_the_patience(self) -> None:
         self.assertLessEqual(self.after_an_end(10).gather_until, 512)
         self.assertGreaterEqual(self.after_an_end(600).gather_until, 500 + 480)
 
-    def test_a_dispatcher_that_does_not_tell_leaves_the_default(self) -> None:
+    def test_without_a_patience_the_default_applies(self) -> None:
         self.assertGreaterEqual(self.after_an_end(0).gather_until, 500 + int(0.8 * GATHER_MS))
 
-    def test_less_patience_counts_at_once(self) -> None:
+    def test_a_shorter_patience_applies_immediately(self) -> None:
         holds = self.after_an_end(600)
         holds.be_patient(20)
         self.assertEqual(520, holds.gather_until)
--- a/tests/system/test_jobs_timing.py
+++ b/tests/system/test_jobs_timing.py
@@ -1,4 +1,4 @@
-"""Where the time of jobs goes: sums by queue and phase, and by job."""
+"""Times of jobs by phase: sums per queue and per job."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TwoStepJob(unittest.TestCase):
-    """A job of two steps, from its submission until it is shown."""
+    """A job of two steps, from its submission until its end is shown."""
 
     def setUp(self) -> None:
         self.world = World(machines=3, cpu=4_000)
@@ -43,12 +43,12 @@
         self.assertGreaterEqual(queue.total_ms[Phase.RUN], 4 * 300)
         self.assertEqual(0, queue.count[Phase.WAIT_ROOM])
 
-    def test_tasks_that_find_no_room_wait_for_it(self) -> None:
+    def test_tasks_without_capacity_count_as_waiting_for_room(self) -> None:
         self.play([{"count": 24, "cpu": 1_000, "estimateMs": 500}])
         self.assertGreaterEqual(self.times().total_ms[Phase.WAIT_ROOM], 12 * 300)
         self.assertGreaterEqual(self.times().longest_ms[Phase.WAIT_ROOM], 300)
 
-    def test_the_rows_for_the_console(self) -> None:
+    def test_rows_for_the_operators_console(self) -> None:
         self.play(STEPS)
         assert self.world.dispatcher is not None
         rows = queue_times(self.world.dispatcher).rows
@@ -60,7 +60,7 @@
 
 
 class Bounds(unittest.TestCase):
-    def test_only_the_newest_jobs_keep_times_of_their_own(self) -> None:
+    def test_only_the_newest_jobs_keep_their_own_times(self) -> None:
         world = World()
         world.elect()
         world.run(500)
@@ -72,7 +72,7 @@
         self.assertEqual((), job_times(jobs[job_id(0)]))
         self.assertIsNotNone(jobs[job_id(1)].times)
 
-    def test_queues_beyond_the_bound_are_summed_together(self) -> None:
+    def test_queues_above_the_limit_are_summed_together(self) -> None:
         world = World()
         world.elect()
         world.run(500)
