--- a/flintfield/jobs/copies.py
+++ b/flintfield/jobs/copies.py
@@ -17,7 +17,7 @@
 
 LATE_FACTOR = 1.6  # multiple of the expected duration
 MIN_LATE_MS = 600
-NEARLY_DONE_PERCENT = 75  # percent
+NEARLY_DONE_PERCENT = 75
 CHECK_PERIOD_MS = 250
 MAX_CHECKED_TASKS = 256  # per check; the rest wait for the next check
 
--- a/flintfield/jobs/listings.py
+++ b/flintfield/jobs/listings.py
@@ -12,7 +12,7 @@
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.messages import AgentReport, End, How, Run as ListedRun
 from flintfield.jobs.model import Run
-from flintfield.jobs.occurrences import gang_is_whole
+from flintfield.jobs.occurrences import gang_is_complete
 from flintfield.jobs.moves import Moves
 from flintfield.jobs.runs import Ending
 from flintfield.jobs.state import DispatcherState
@@ -76,13 +76,13 @@
         listed = {(each.task, each.run): each for each in report.running}
         ended = {(each.task, each.run) for each in report.finished}
         self._stop_strays(record, listed)
-        every_run = self._state.now_ms - record.examined_ms >= EXAMINE_MS
-        if every_run:
+        check_progress = self._state.now_ms - record.examined_ms >= EXAMINE_MS
+        if check_progress:
             record.examined_ms = self._state.now_ms
         for key, run in list(record.runs.items()):
             each = listed.get(key)
             if each is not None:
-                if every_run or run.state is not RunState.RUNNING:
+                if check_progress or run.state is not RunState.RUNNING:
                     self._note_running(record, run, each, report.listing_stamp)
             elif run.state is RunState.CLOSED or key in ended:
                 continue
@@ -108,7 +108,7 @@
 
     def _should_stop(self, run: Run, now: int) -> bool:
         task = run.task
-        if task.job.ended or not gang_is_whole(task.step, run.number):
+        if task.job.ended or not gang_is_complete(task.step, run.number):
             return True
         over = task.step.occurrence.finished or task.state is TaskState.DONE
         if not over:
@@ -126,7 +126,7 @@
         elif run.state is RunState.INHERITED:
             if fenced and record.fence_stamp is not None and settled >= record.fence_stamp:
                 self._resolve_vanished(run)
-            elif run.task.job.ended or not gang_is_whole(run.task.step, run.number):
+            elif run.task.job.ended or not gang_is_complete(run.task.step, run.number):
                 self._ends.runs.stop(run)
             elif not record.draining and run.task.state is TaskState.PLACED:
                 self._ends.runs.order_start(run, record)
--- a/flintfield/jobs/moves.py
+++ b/flintfield/jobs/moves.py
@@ -14,8 +14,8 @@
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.jobs.worker_record import WorkerRecord
 
-MAX_MOVES = 3  # of one task
-COMPLETE_PERCENT = 100  # percent
+MAX_MOVES = 3  # per task
+COMPLETE_PERCENT = 100
 STALL_MS = 1_500  # a shorter time without progress is not significant
 STALL_SHARE = 0.3  # of the estimate, if that is longer
 RECENT_PROGRESS_MS = 6_000  # progress of other workers in the service rules out a fault of the system itself
--- a/flintfield/jobs/occurrences.py
+++ b/flintfield/jobs/occurrences.py
@@ -22,7 +22,7 @@
     return occurrence
 
 
-def gang_is_whole(step: Step, number: int) -> bool:
+def gang_is_complete(step: Step, number: int) -> bool:
     """Whether every gang member has this run, or the step is done; True for a step that is not a gang."""
     if not step.spec.gang or step.left == 0:
         return True
--- a/flintfield/jobs/runs.py
+++ b/flintfield/jobs/runs.py
@@ -12,7 +12,7 @@
 
 from flintfield.jobs.messages import StartOrder, StopOrder
 from flintfield.jobs.model import Job, Run, Task
-from flintfield.jobs.occurrences import gang_is_whole
+from flintfield.jobs.occurrences import gang_is_complete
 from flintfield.jobs.recorder import Happening
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState, RunState, TaskState
@@ -155,4 +155,4 @@
     job: Job = run.task.job
     if job.state is not JobState.ACTIVE or run.task.state is not TaskState.PLACED:
         return False
-    return gang_is_whole(run.task.step, run.number)
+    return gang_is_complete(run.task.step, run.number)
--- a/flintfield/jobs/timing.py
+++ b/flintfield/jobs/timing.py
@@ -30,7 +30,7 @@
     WAIT_RACK = 3  # for capacity in the rack of its data
     WAIT_WORKER = 4  # there is capacity, but the policy waits for a better or a trusted worker
     WAIT_GANG = 5  # a single member would fit, but not all of them
-    BACKOFF = 7  # after a run that ended badly
+    BACKOFF = 7  # the delay after a run that did not end `done`
     PLACEMENT = 8  # from placement until the start order is sent, once the placement is durable
     START = 9  # from the start order until its answer is reported
     RUN = 10  # from the start until the end `done` is reported
--- a/tests/system/jobs_judge.py
+++ b/tests/system/jobs_judge.py
@@ -111,8 +111,10 @@
             mine = [seen for seen in self.world.seen if seen.worker is worker]
             for seen in mine:
                 at = seen.start
-                there = [each for each in mine if each.start <= at and (each.end is None or each.end > at)]
-                cpu = sum(self._step(each.task).get("cpu", 0) for each in there)
+                concurrent = [
+                    each for each in mine if each.start <= at and (each.end is None or each.end > at)
+                ]
+                cpu = sum(self._step(each.task).get("cpu", 0) for each in concurrent)
                 if cpu > worker.capacity.cpu:
                     self.faults.append(f"LIMIT {worker.instance}: {cpu} at {at} with {seen.task}")
 
@@ -124,20 +126,20 @@
                 self.faults.append(f"DRAIN {seen.task}: {seen.start - seen.draining_since} ms after")
 
     def _check_reported_states(self, by_task: dict[str, list[ObservedRun]]) -> None:
-        for told in self.world.told:
-            if told.method is not Method.STATUS or told.answer.status != 200:
+        for received in self.world.client_answers:
+            if received.method is not Method.STATUS or received.answer.status != 200:
                 continue
-            state = json.loads(told.answer.body)["state"]
+            state = json.loads(received.answer.body)["state"]
             if state == "completed":
-                self._check_completed(told, by_task)
-            elif state == "cancelled" and told.job not in self.world.cancelled_at:
-                self.faults.append(f"LOST {told.job}: cancelled by nobody")
+                self._check_completed(received, by_task)
+            elif state == "cancelled" and received.job not in self.world.cancelled_at:
+                self.faults.append(f"LOST {received.job}: cancelled by nobody")
 
-    def _check_completed(self, told: ClientAnswer, by_task: dict[str, list[ObservedRun]]) -> None:
-        body = self.world.jobs[told.job]
+    def _check_completed(self, received: ClientAnswer, by_task: dict[str, list[ObservedRun]]) -> None:
+        body = self.world.jobs[received.job]
         for number in range(max(1, body.get("repeatCount", 0))):
             for index, step in enumerate(body["steps"]):
-                names = [f"{told.job}.{number}.{index}.{each}" for each in range(step["count"])]
+                names = [f"{received.job}.{number}.{index}.{each}" for each in range(step["count"])]
                 ends = [self._done_at(name, by_task) for name in names]
-                if (min(ends) if step.get("gang") else max(ends)) > told.at:
-                    self.faults.append(f"MIXED {told.job}: shown as completed before step {index} was")
+                if (min(ends) if step.get("gang") else max(ends)) > received.at:
+                    self.faults.append(f"MIXED {received.job}: shown as completed before step {index} was")
--- a/tests/system/jobs_world.py
+++ b/tests/system/jobs_world.py
@@ -97,7 +97,7 @@
         self.unwritten: list[Write] = []
         self.write_ms = 8.0
         self.dispatcher: Dispatcher | None = None
-        self.told: list[ClientAnswer] = []
+        self.client_answers: list[ClientAnswer] = []
         self.calls: dict[int, tuple[str, Method]] = {}
         self.next_call = 0
         self.jobs: dict[str, dict[str, Any]] = {}
@@ -165,7 +165,7 @@
                     self.after(self.write_ms + self.rng.random(), partial(self._written, self.term))
                 case Answer():
                     job, method = self.calls.pop(effect.call)
-                    self.told.append(ClientAnswer(self.now, job, method, effect.answer))
+                    self.client_answers.append(ClientAnswer(self.now, job, method, effect.answer))
                     if method is Method.CANCEL and effect.answer.status in (200, 410):
                         self.cancelled_at.setdefault(job, self.now)
                 case SendOrders():
@@ -205,13 +205,13 @@
 
     def ask(self, method: Method, job: str, route: str = "/a/", body: bytes = b"") -> JobAnswer:
         """Make a call and wait for its answer."""
-        before = len(self.told)
+        before = len(self.client_answers)
         self.call(method, job, body, route)
         for _ in range(200):
-            if len(self.told) > before:
+            if len(self.client_answers) > before:
                 break
             self.run(5)
-        return self.told[-1].answer
+        return self.client_answers[-1].answer
 
     def state_of(self, job: str) -> str:
         """The job's state as shown to a client, or the status code."""
--- a/tests/system/test_jobs_faults.py
+++ b/tests/system/test_jobs_faults.py
@@ -192,7 +192,9 @@
     def unfinished(self) -> list[str]:
         """Accepted jobs that have not ended."""
         accepted = {
-            told.job for told in self.world.told if told.method is Method.SUBMIT and told.answer.status == 200
+            received.job
+            for received in self.world.client_answers
+            if received.method is Method.SUBMIT and received.answer.status == 200
         }
         return [job for job in sorted(accepted) if self.world.state_of(job) in ("queued", "running", "410")]
 
--- a/tests/system/test_jobs_listings.py
+++ b/tests/system/test_jobs_listings.py
@@ -81,10 +81,10 @@
                         self.items[key] = value
                 waiting += self.dispatcher.handle(self.now, Written(effect.write))
 
-    def send(self, told: AgentReport, **changes: object) -> None:
+    def send(self, template: AgentReport, **changes: object) -> None:
         """Deliver a report."""
-        self.now = max(self.now, 990 + told.stamp_ms)
-        self.handle(ReportArrived(replace(told, **changes)))  # type: ignore[arg-type]
+        self.now = max(self.now, 990 + template.stamp_ms)
+        self.handle(ReportArrived(replace(template, **changes)))  # type: ignore[arg-type]
 
     def answered(self, outcome: Outcome, stamp: int, order: int | None = None) -> tuple[OrderResult, ...]:
         """An order result for the newest start order, or for `order`."""
@@ -152,9 +152,9 @@
         self.assertEqual([stop.run for stop in self.stops], [1])
 
     def test_another_incarnation_frees_all_runs_of_the_earlier_one(self) -> None:
-        told = report(100)
-        assert told.worker is not None
-        self.send(told, worker=replace(told.worker, instance="i-2"), listing_stamp=-1)
+        template = report(100)
+        assert template.worker is not None
+        self.send(template, worker=replace(template.worker, instance="i-2"), listing_stamp=-1)
         self.now += 300
         self.handle(Tick(WALL_0))
         self.assertEqual(self.started(), [1, 2])
--- a/tests/system/test_jobs_long_history.py
+++ b/tests/system/test_jobs_long_history.py
@@ -19,7 +19,7 @@
 JOBS = 20_000
 JOBS_PER_BATCH = 20
 BATCH_PERIOD_MS = 500.0  # 40 jobs per second
-TAKEOVER_EVERY = 2_500  # jobs
+TAKEOVER_EVERY = 2_500  # jobs between two takeovers
 STATUS_S = 10
 MAX_STORE_BYTES = 400_000  # for 1,200 ended jobs and some tens of active ones
 SPEC_BYTES = 2_000
@@ -53,7 +53,9 @@
             largest = max(largest, stored_bytes(world))
         world.run(5_000)
         accepted = {
-            told.job for told in world.told if told.method is Method.SUBMIT and told.answer.status == 200
+            received.job
+            for received in world.client_answers
+            if received.method is Method.SUBMIT and received.answer.status == 200
         }
         done = {seen.task.partition(".")[0] for seen in world.seen if seen.how == "done"}
         self.assertGreater(len(accepted), JOBS * 98 // 100)
--- a/tests/system/test_jobs_moves.py
+++ b/tests/system/test_jobs_moves.py
@@ -264,13 +264,13 @@
     """A placement policy that never chooses a worker."""
 
     def choose(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
-        """Never."""
+        """Choose no worker."""
         return None
 
     def choose_gang(
         self, demands: Sequence[Demand], workers: dict[str, Worker], now_ms: int
     ) -> list[str] | None:
-        """Never."""
+        """Choose no worker."""
         return None
 
 
--- a/tests/system/test_jobs_timing.py
+++ b/tests/system/test_jobs_timing.py
@@ -54,8 +54,8 @@
         rows = queue_times(self.world.dispatcher).rows
         self.assertEqual({"r-a"}, {row.queue for row in rows})
         self.assertIn(Phase.RUN, {row.phase for row in rows})
-        told = job_times(self.world.dispatcher.state.jobs[job_id(1)])
-        self.assertIn(Phase.RUN, {row.phase for row in told})
+        phase_rows = job_times(self.world.dispatcher.state.jobs[job_id(1)])
+        self.assertIn(Phase.RUN, {row.phase for row in phase_rows})
         self.assertIn("run=4x", logged_times(self.world.dispatcher.state.timing)["r-a"])
 
 
--- a/tests/system/test_jobs_world.py
+++ b/tests/system/test_jobs_world.py
@@ -27,7 +27,7 @@
         ]
         self.world.submit(job_id(1), steps, simple())
         self.world.run(300)
-        self.assertEqual(self.world.told[-1].answer.status, 200)
+        self.assertEqual(self.world.client_answers[-1].answer.status, 200)
         self.assertEqual(self.world.state_of(job_id(1)), "running")
         self.world.run(3_000)
         self.assertEqual(self.world.state_of(job_id(1)), "completed")
