--- a/flintfield/jobs/gangs.py
+++ b/flintfield/jobs/gangs.py
@@ -1,13 +1,13 @@
-"""Gangs: placed all at once or not at all, and given room after they have waited.
+"""Gang placement: all members are placed at once or none, with reservations after a wait.
 
-A gang that finds no room may reserve workers: they take no task that ranks behind it until it is placed
-or the reservation ends. Reservations are bounded in number and in time, so that a gang that can never fit
-stops nobody.
+A gang that finds no capacity may reserve workers: until it is placed or the reservation ends, they accept no
+task that ranks behind it. Reservations are limited in number and time, so that a gang that can never fit does
+not block other tasks.
 """
 
 from __future__ import annotations
 
-from flintfield.jobs.demands import demand_of, has_room, may_hold
+from flintfield.jobs.demands import demand_of, has_room, can_place
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.estimates import left_ms
 from flintfield.jobs.model import Run, Step
@@ -17,20 +17,20 @@
 from flintfield.jobs.states import TaskState
 from flintfield.placement.interface import Demand, Resources, Worker
 
-FORCE_AFTER_MS = 1_500  # after that workers with room are taken even if the policy would wait
+FORCE_AFTER_MS = 1_500  # after this wait the policy is overridden and any worker with capacity is used
 RESERVE_AFTER_MS = 1_500
-RESERVE_ALL_AFTER_MS = 4_000  # from then on it may have more than its share, for a short time
-RESERVATION_MS = 2_500  # a task that waits for 3 s beside idle workers counts as lost
-LONGEST_RESERVATION_MS = 8_000  # within its share: the rest of the service goes on
-REST_MS = 3_000  # between two reservations of one service
-RESERVED_SHARE = 0.5  # of a service's workers
+RESERVE_ALL_AFTER_MS = 4_000  # after this wait it may briefly exceed `RESERVED_SHARE`
+RESERVATION_MS = 2_500  # a task that waits for 3 s beside idle workers counts as lost, so this is shorter
+LONGEST_RESERVATION_MS = 8_000  # within `RESERVED_SHARE`: the rest of the service keeps working
+RESERVATION_PAUSE_MS = 3_000  # between two reservations in one service
+RESERVED_SHARE = 0.5  # of the workers of a service
 RETRY_MS = 300
 NEVER_MS = 1e9
-MANY = 1 << 20  # members that ask for nothing
+UNLIMITED_MEMBERS = 1 << 20  # for members that request no resources
 
 
 class Gangs:
-    """Places gangs."""
+    """Places gangs and manages reservations."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness, ends: Ends) -> None:
         self._state = state
@@ -38,7 +38,7 @@
         self._ends = ends
 
     def place(self, queue: ServiceQueue, step: Step) -> int:
-        """Place all members, or none; how many were."""
+        """Place all members or none; returns the number placed."""
         if any(task.state is not TaskState.READY for task in step.tasks):
             return 0
         if any(self._ends.fail_if_exhausted(task) for task in step.tasks if task.failed):
@@ -54,50 +54,50 @@
         return len(step.tasks)
 
     def _choose(self, queue: ServiceQueue, demands: list[Demand]) -> list[Worker] | None:
-        if not any(may_hold(worker, demands[0]) for worker in queue.workers.values()):
+        if not any(can_place(worker, demands[0]) for worker in queue.workers.values()):
             return None
         names = self._state.placement.choose_gang(demands, self._state.placeable, self._state.now_ms)
         if names is None:
             return None
         chosen = [queue.workers[name] for name in names if name in queue.workers]
-        if not _may_hold_all(demands, chosen):
+        if not _can_place_all(demands, chosen):
             self._state.counters.bad_placements += 1
             return None
         return chosen
 
     def _first_fit(self, queue: ServiceQueue, demands: list[Demand]) -> list[Worker] | None:
-        """Workers with room for all members, trusted ones first, whatever the policy thinks of them."""
-        demand, now = demands[0], self._state.now_ms  # all members ask for the same
+        """Workers with capacity for all members, trusted ones first, ignoring the placement policy."""
+        demand, now = demands[0], self._state.now_ms  # all members have the same demand
         avoid = frozenset().union(*(each.avoid for each in demands))
-        able = [worker for worker in queue.workers.values() if may_hold(worker, demand)]
-        able.sort(
+        eligible = [worker for worker in queue.workers.values() if can_place(worker, demand)]
+        eligible.sort(
             key=lambda worker: (
                 worker.instance in avoid,
                 not self._state.placement.trusted(worker.instance, now),
             )
         )
         chosen: list[Worker] = []
-        for worker in able:
+        for worker in eligible:
             free = worker.capacity.minus(worker.used)
-            places = _members(free, demand, worker.held.get(demand.group, 0))
+            places = _members_that_fit(free, demand, worker.held.get(demand.group, 0))
             chosen += [worker] * min(places, len(demands) - len(chosen))
-        return chosen if len(chosen) == len(demands) and _may_hold_all(demands, chosen) else None
+        return chosen if len(chosen) == len(demands) and _can_place_all(demands, chosen) else None
 
     def _place_all(self, step: Step, demands: list[Demand], chosen: list[Worker]) -> None:
         number = max(task.last_run for task in step.tasks) + 1
         checkpoint = step.tasks[0].checkpoint
         apart = step.spec.same_rack and len({worker.rack for worker in chosen}) > 1
         for task, demand, worker in zip(step.tasks, demands, chosen, strict=True):
-            self._readiness.no_longer_ready(task)
+            self._readiness.remove_ready(task)
             run = self._ends.runs.place(task, demand, worker, number, checkpoint)
             if apart:
-                run.far = self._state.bounds.far_x
+                run.duration_factor = self._state.bounds.far_x
 
     # Reservations
 
-    def withhold(self, queue: ServiceQueue, step: Step) -> None:
-        """Hide reserved workers from a step that ranks behind their holder, until `give_back`."""
-        if not queue.reserved or queue.withheld:
+    def hide_reserved(self, queue: ServiceQueue, step: Step) -> None:
+        """Hide reserved workers from a step that ranks behind the holder, until `unhide_reserved`."""
+        if not queue.reserved or queue.hidden_workers:
             return
         if self._state.now_ms >= queue.reserved_until_ms:
             queue.reserved.clear()
@@ -106,46 +106,52 @@
         if step is holder or step.rank < holder.rank:
             return
         workers = [queue.workers[name] for name in queue.reserved if name in queue.workers]
-        queue.withheld = [worker for worker in workers if worker.ready]
-        for worker in queue.withheld:
+        queue.hidden_workers = [worker for worker in workers if worker.ready]
+        for worker in queue.hidden_workers:
             worker.ready = False
 
-    def give_back(self, queue: ServiceQueue) -> None:
-        """The pass is over."""
-        for worker in queue.withheld:
+    def unhide_reserved(self, queue: ServiceQueue) -> None:
+        """Show the hidden workers again after a pass."""
+        for worker in queue.hidden_workers:
             worker.ready = True
-        queue.withheld = []
+        queue.hidden_workers = []
 
     def reserve(self, queue: ServiceQueue, step: Step) -> None:
-        """Keep workers for a step that has waited, be it a gang or a task larger than what becomes free."""
+        """Reserve workers for a step that has waited: a gang, or a task larger than any free capacity."""
         now = self._state.now_ms
         waited = now - step.ready_since_ms
-        if queue.reserved or waited < RESERVE_AFTER_MS or now < queue.reserved_until_ms + REST_MS:
+        if (
+            queue.reserved
+            or waited < RESERVE_AFTER_MS
+            or now < queue.reserved_until_ms + RESERVATION_PAUSE_MS
+        ):
             return
-        if now < queue.reserve_tried_ms + RETRY_MS:
+        if now < queue.last_reserve_attempt_ms + RETRY_MS:
             return
-        queue.reserve_tried_ms = now
+        queue.last_reserve_attempt_ms = now
         most = len(queue.workers) if waited >= RESERVE_ALL_AFTER_MS else len(queue.workers) * RESERVED_SHARE
-        wanted, free_in_ms = self._enough_workers(queue, step, max(most, 1))
+        wanted, free_in_ms = self._soonest_free_workers(queue, step, max(most, 1))
         if wanted:
             queue.reserved = {worker.instance: step for worker in wanted}
-            few = len(wanted) <= len(queue.workers) * RESERVED_SHARE
-            longest = LONGEST_RESERVATION_MS if few else RESERVATION_MS
+            within_share = len(wanted) <= len(queue.workers) * RESERVED_SHARE
+            longest = LONGEST_RESERVATION_MS if within_share else RESERVATION_MS
             queue.reserved_until_ms = now + int(min(max(RESERVATION_MS, free_in_ms * 1.5), longest))
 
-    def _enough_workers(self, queue: ServiceQueue, step: Step, most: float) -> tuple[list[Worker], float]:
-        """The workers that are free soonest for the whole step, and in how many ms; none if too many."""
+    def _soonest_free_workers(
+        self, queue: ServiceQueue, step: Step, most: float
+    ) -> tuple[list[Worker], float]:
+        """The workers that can host the whole step soonest, and in how many ms; none if it needs too many."""
         demand = demand_of(next(iter(step.ready.values())))
-        able = [
+        eligible = [
             (self._free_in_ms(worker, demand), worker.instance, worker)
             for worker in queue.workers.values()
-            if _could_hold(worker, demand)
+            if _could_place_when_empty(worker, demand)
         ]
         taken: list[Worker] = []
         members = len(step.tasks) if step.spec.gang else 1
-        for free_in_ms, _, worker in sorted(able, key=lambda each: each[:2]):
+        for free_in_ms, _, worker in sorted(eligible, key=lambda each: each[:2]):
             taken.append(worker)
-            members -= _members(worker.capacity, demand)
+            members -= _members_that_fit(worker.capacity, demand)
             if len(taken) > most:
                 break
             if members <= 0:
@@ -153,11 +159,11 @@
         return [], 0.0
 
     def _free_in_ms(self, worker: Worker, demand: Demand) -> float:
-        """When it is likely to have room for one such task more."""
+        """Expected time until the worker has capacity for one more such task."""
         if has_room(worker, demand):
             return 0.0
-        there = self._state.workers[worker.instance].runs.values()
-        runs = sorted(((self._left_ms(run), run.resources) for run in there), key=lambda each: each[0])
+        runs_there = self._state.workers[worker.instance].runs.values()
+        runs = sorted(((self._left_ms(run), run.resources) for run in runs_there), key=lambda each: each[0])
         free = worker.capacity.minus(worker.used)
         for left, resources in runs:
             free = free.plus(resources)
@@ -171,13 +177,13 @@
         return left_ms(run, self._state.now_ms, self._state.paces.usual(run.task.job.route))
 
     def end_reservation(self, queue: ServiceQueue, step: Step) -> None:
-        """The step has been placed."""
+        """Release the step's reservation after its placement."""
         if queue.reserved and step in queue.reserved.values():
             queue.reserved.clear()
             queue.reserved_until_ms = self._state.now_ms
 
 
-def _could_hold(worker: Worker, demand: Demand) -> bool:
+def _could_place_when_empty(worker: Worker, demand: Demand) -> bool:
     return (
         worker.ready
         and worker.service == demand.service
@@ -186,24 +192,26 @@
     )
 
 
-def _members(room: Resources, demand: Demand, held: int = 0) -> int:
-    """How many members that room holds, on a worker that holds so many tasks of the step already."""
+def _members_that_fit(room: Resources, demand: Demand, held: int = 0) -> int:
+    """Number of members that fit into `room` on a worker that already has `held` tasks of the step."""
     asked = demand.resources
     pairs = ((room.cpu, asked.cpu), (room.memory_mb, asked.memory_mb), (room.gpu, asked.gpu))
-    fits = min((there // each for there, each in pairs if each), default=MANY)
+    fits = min(
+        (available // required for available, required in pairs if required), default=UNLIMITED_MEMBERS
+    )
     return min(fits, demand.at_most - held) if demand.at_most else fits
 
 
-def _may_hold_all(demands: list[Demand], chosen: list[Worker]) -> bool:
-    """Whether the rules allow all members on these workers together."""
+def _can_place_all(demands: list[Demand], chosen: list[Worker]) -> bool:
+    """Whether all members may be placed on these workers together."""
     if len(chosen) != len(demands):
         return False
     added: dict[str, int] = {}
     for demand, worker in zip(demands, chosen, strict=True):
-        if not may_hold(worker, demand):
+        if not can_place(worker, demand):
             return False
         added[worker.instance] = added.get(worker.instance, 0) + 1
-    demand = demands[0]  # all members ask for the same
+    demand = demands[0]  # all members have the same demand
     for worker in chosen:
         count = added[worker.instance]
         asked = demand.resources
--- a/flintfield/jobs/listings.py
+++ b/flintfield/jobs/listings.py
@@ -1,8 +1,8 @@
-"""What a worker lists: the ends of runs, the runs that go on, and what is missing from both lists.
+"""Processes a worker's listing: ended runs, running runs, and runs that are missing from both lists.
 
-Ends are written before `last_seen` moves past them. A run that is in neither list has vanished if its order
-was answered early enough before the listing was asked for, or is of an older epoch than the one the worker is
-fenced by; both counted with the time that a stop may take.
+Ends are durable before `last_seen` advances past them. A run in neither list has vanished if its order was
+answered early enough before the listing was requested, or if it was placed in an older epoch than the one the
+worker is fenced by. Both checks allow for the time that a stop may take.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from flintfield.jobs.ends import Ends
 from flintfield.jobs.messages import AgentReport, End, How, Run as ListedRun
 from flintfield.jobs.model import Run
-from flintfield.jobs.occurrences import gang_is_whole
+from flintfield.jobs.occurrences import gang_is_complete
 from flintfield.jobs.moves import Moves
 from flintfield.jobs.runs import Ending
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.jobs.worker_record import WorkerRecord
 
-LISTED_AT_ONCE = 500  # a listing with so many ends may leave out more
-EXAMINE_MS = 300  # progress is looked at no more often
-DONE_RUN_MS = 1_500  # a run of a task that is done ends by itself within that, or is stopped
+LISTED_AT_ONCE = 500  # a listing with this many ends may be incomplete
+EXAMINE_MS = 300  # shortest interval between two checks of progress
+DONE_RUN_MS = 1_500  # a run of a task that is done is stopped if it does not end by itself within this time
 
 _ENDINGS = {
     How.DONE: Ending.DONE,
@@ -34,7 +34,7 @@
 
 
 class Listings:
-    """Takes in the lists of a report."""
+    """Processes the lists of a report."""
 
     def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
         self._state = state
@@ -42,31 +42,31 @@
         self._moves = moves
 
     def take_in(self, record: WorkerRecord, report: AgentReport) -> None:
-        """Take in both lists: the ends first, as a run that has ended is listed as running no more."""
+        """Process both lists; ends come first, as an ended run is no longer listed as running."""
         self._take_in_ends(record, report.finished)
         self._take_in_listing(record, report)
 
     def _take_in_ends(self, record: WorkerRecord, finished: tuple[End, ...]) -> None:
-        """Take in every end that is told; `last_seen` follows only up to the first one that is missing."""
-        whole_up_to = None
+        """Process all reported ends; `last_seen` advances only up to the first gap in their numbers."""
+        contiguous_up_to = None
         for end in sorted(finished, key=lambda each: each.number):
             if end.number > record.taken_in:
                 self._take_in_end(record, end)
-            if whole_up_to is None or end.number == whole_up_to + 1:
-                whole_up_to = end.number
-        if whole_up_to is not None and whole_up_to > record.taken_in:
-            record.taken_in = whole_up_to
-            self._state.after_write(partial(self._noted, record, whole_up_to))
+            if contiguous_up_to is None or end.number == contiguous_up_to + 1:
+                contiguous_up_to = end.number
+        if contiguous_up_to is not None and contiguous_up_to > record.taken_in:
+            record.taken_in = contiguous_up_to
+            self._state.after_write(partial(self._advance_last_seen, record, contiguous_up_to))
 
     def _take_in_end(self, record: WorkerRecord, end: End) -> None:
         run = record.runs.get((end.task, end.run))
         if run is None or run.state is RunState.PLACING:
-            return  # released before, or of a job that is forgotten
+            return  # already released, or its job is forgotten
         if end.how is How.DONE:
             self._state.service(record.worker.service).progress[record.instance] = self._state.now_ms
         self._ends.resolve(run, _ENDINGS[end.how], end.saved)
 
-    def _noted(self, record: WorkerRecord, number: int) -> None:
+    def _advance_last_seen(self, record: WorkerRecord, number: int) -> None:
         record.last_seen = max(record.last_seen, number)
 
     def _take_in_listing(self, record: WorkerRecord, report: AgentReport) -> None:
@@ -75,14 +75,14 @@
         record.listing_stamp = report.listing_stamp
         listed = {(each.task, each.run): each for each in report.running}
         ended = {(each.task, each.run) for each in report.finished}
-        self._note_strays(record, listed)
-        every_run = self._state.now_ms - record.examined_ms >= EXAMINE_MS
-        if every_run:
+        self._stop_strays(record, listed)
+        check_progress = self._state.now_ms - record.examined_ms >= EXAMINE_MS
+        if check_progress:
             record.examined_ms = self._state.now_ms
         for key, run in list(record.runs.items()):
             each = listed.get(key)
             if each is not None:
-                if every_run or run.state is not RunState.RUNNING:
+                if check_progress or run.state is not RunState.RUNNING:
                     self._note_running(record, run, each, report.listing_stamp)
             elif run.state is RunState.CLOSED or key in ended:
                 continue
@@ -100,7 +100,7 @@
         if listed.percent > before:
             self._state.service(record.worker.service).progress[record.instance] = now
         if listed.saved and listed.saved != run.task.checkpoint:
-            self._ends.save(run.task, listed.saved)
+            self._ends.save_checkpoint(run.task, listed.saved)
         if run.state is RunState.RUNNING and self._should_stop(run, now):
             self._ends.runs.stop(run)
         else:
@@ -108,7 +108,7 @@
 
     def _should_stop(self, run: Run, now: int) -> bool:
         task = run.task
-        if task.job.ended or not gang_is_whole(task.step, run.number):
+        if task.job.ended or not gang_is_complete(task.step, run.number):
             return True
         over = task.step.occurrence.finished or task.state is TaskState.DONE
         if not over:
@@ -118,24 +118,24 @@
         return now - task.done_ms > DONE_RUN_MS
 
     def _not_listed(self, record: WorkerRecord, run: Run, report: AgentReport) -> None:
-        """The worker lists the run neither as running nor as ended."""
+        """Handle a run that the worker lists neither as running nor as ended."""
         settled = report.listing_stamp - self._state.bounds.settle_ms
         fenced = report.fenced_epoch == self._state.epoch
         if fenced and run.answered_stamp is not None and settled >= run.answered_stamp:
-            self._vanished(run)
+            self._resolve_vanished(run)
         elif run.state is RunState.INHERITED:
             if fenced and record.fence_stamp is not None and settled >= record.fence_stamp:
-                self._vanished(run)
-            elif run.task.job.ended or not gang_is_whole(run.task.step, run.number):
+                self._resolve_vanished(run)
+            elif run.task.job.ended or not gang_is_complete(run.task.step, run.number):
                 self._ends.runs.stop(run)
             elif not record.draining and run.task.state is TaskState.PLACED:
                 self._ends.runs.order_start(run, record)
 
-    def _vanished(self, run: Run) -> None:
+    def _resolve_vanished(self, run: Run) -> None:
         self._state.counters.vanished_runs += 1
         self._ends.resolve(run, Ending.VANISHED, "")
 
-    def _note_strays(self, record: WorkerRecord, listed: dict[tuple[str, int], ListedRun]) -> None:
+    def _stop_strays(self, record: WorkerRecord, listed: dict[tuple[str, int], ListedRun]) -> None:
         for key in [key for key in record.strays if key not in listed]:
             record.orders.pop(record.strays.pop(key), None)
         for key in listed:
--- a/flintfield/jobs/workers.py
+++ b/flintfield/jobs/workers.py
@@ -1,7 +1,8 @@
-"""Workers as their agents report them: holds, listings, ends, answers to orders, and what is free again.
+"""Processes agents' reports about workers: holds, listings, ends, order results and the release of capacity.
 
-What is free is listed in docs/system.md. Every report is answered, and a hold granted from its stamp on;
-a worker that answers nothing itself gets no further hold, so that its runs are over at a known time.
+The rules for releasing capacity are in docs/system.md. Every report is answered, which grants a hold from the
+report's stamp on. A worker that does not answer its agent gets no further hold, so that its runs end at a
+known time.
 """
 
 from __future__ import annotations
@@ -19,54 +20,54 @@
 from flintfield.jobs.worker_record import WorkerRecord, unknown_worker
 from flintfield.placement.interface import Resources
 
-REMEMBERED_GONE = 4_096  # incarnations that are gone; a late heartbeat of one must not bring it back
-FORGET_WORKER_MS = 600_000  # a silent worker without runs is forgotten after that
-NAMING_MS = 2_500  # how long an agent that knows of no worker is told which one it had
-PERIOD_MS = 150  # between two looks at all workers
+MAX_GONE_REMEMBERED = 4_096  # removed incarnations; a late heartbeat must not add one again
+FORGET_WORKER_MS = 600_000  # a silent worker without runs is forgotten after this time
+IDENTIFY_MS = 2_500  # how long a restarted agent that does not know its worker is sent the worker's id
+CHECK_PERIOD_MS = 150  # interval between checks of all workers
 
 
 class Workers:
-    """Takes in reports, and the passing of time for workers that send none."""
+    """Processes reports, and timeouts of workers without reports."""
 
     def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
         self._state = state
         self._ends = ends
         self._moves = moves
         self._listings = Listings(state, ends, moves)
-        self._looked_ms = state.now_ms
-        self._orders = Orders(state, ends.runs, ends.resolve, self._gone)
+        self._last_check_ms = state.now_ms
+        self._orders = Orders(state, ends.runs, ends.resolve, self._remove_worker)
 
     # Reports
 
     def report(self, report: AgentReport) -> None:
-        """Take in a report and answer it."""
+        """Process a report and answer it."""
         state = self._state
-        told = report.worker
-        if told is None or told.instance in state.gone:
-            self._without_worker(report)
+        reported = report.worker
+        if reported is None or reported.instance in state.gone:
+            self._answer_without_worker(report)
             return
-        record = self._record(report, told)
+        record = self._record(report, reported)
         if report.boot == record.boot and report.stamp_ms < record.stamp_ms:
-            return  # passed by a newer one
-        fresh = self._note_life(record, report)
-        self._note_worker(record, told, report)
+            return  # a newer report has already arrived
+        fresh = self._note_agent_process(record, report)
+        self._note_worker(record, reported, report)
         self._orders.results(record, report.results)
         if fresh:
             self._orders.repeat_all(record)
         self._listings.take_in(record, report)
-        self._take_in_lapse(record, report)
+        self._release_lapsed(record, report)
         self._grant(record, report)
         self.update_ready(record)
         state.send_to(record)
 
-    def _without_worker(self, report: AgentReport) -> None:
+    def _answer_without_worker(self, report: AgentReport) -> None:
         state = self._state
         instance, last_seen = "", 0
         record = state.workers.get(state.by_machine.get(report.machine, ""))
         if record is not None:
             record.connected = False
             self.update_ready(record)
-            if self._may_name(record, report):
+            if self._may_identify(record, report):
                 instance, last_seen = record.instance, record.last_seen
                 record.granted_ms, record.granted_stamp = state.now_ms, report.stamp_ms
         state.emit(
@@ -76,34 +77,34 @@
             )
         )
 
-    def _may_name(self, record: WorkerRecord, report: AgentReport) -> bool:
-        """Whether to tell a new life of the agent which worker it had, so that its hold goes on."""
+    def _may_identify(self, record: WorkerRecord, report: AgentReport) -> bool:
+        """Whether to tell a restarted agent which worker it had, so that the worker's hold is extended."""
         now = self._state.now_ms
         if report.boot == record.boot or record.barred:
             return False
-        if record.unnamed_boot != report.boot:
-            record.unnamed_boot, record.unnamed_ms = report.boot, now
-        return now - record.unnamed_ms < NAMING_MS
+        if record.unidentified_boot != report.boot:
+            record.unidentified_boot, record.unidentified_since_ms = report.boot, now
+        return now - record.unidentified_since_ms < IDENTIFY_MS
 
-    def _record(self, report: AgentReport, told: WorkerState) -> WorkerRecord:
+    def _record(self, report: AgentReport, reported: WorkerState) -> WorkerRecord:
         state = self._state
-        record = state.workers.get(told.instance)
-        if record is None or state.by_machine.get(report.machine) != told.instance:
-            self._drop_earlier(report.machine, told.instance)
-            state.by_machine[report.machine] = told.instance
+        record = state.workers.get(reported.instance)
+        if record is None or state.by_machine.get(report.machine) != reported.instance:
+            self._drop_earlier_incarnations(report.machine, reported.instance)
+            state.by_machine[report.machine] = reported.instance
         if record is None:
-            record = WorkerRecord(unknown_worker(told.instance, report.machine), False, state.now_ms)
-            state.workers[told.instance] = record
+            record = WorkerRecord(unknown_worker(reported.instance, report.machine), False, state.now_ms)
+            state.workers[reported.instance] = record
         return record
 
-    def _drop_earlier(self, machine: str, instance: str) -> None:
-        """Another incarnation is there now, so that all earlier ones run nothing any more."""
+    def _drop_earlier_incarnations(self, machine: str, instance: str) -> None:
+        """Remove earlier incarnations on the machine; once another has replaced them, they run nothing."""
         for record in list(self._state.workers.values()):
             if record.worker.machine == machine and record.instance != instance:
-                self._gone(record)
+                self._remove_worker(record)
 
-    def _note_life(self, record: WorkerRecord, report: AgentReport) -> bool:
-        """Whether this is a new life of the agent, or a new connection, so that orders are to be repeated."""
+    def _note_agent_process(self, record: WorkerRecord, report: AgentReport) -> bool:
+        """Record the agent's boot; returns whether a restart or reconnect requires orders to be repeated."""
         if not record.known or record.boot != report.boot:
             record.boot = report.boot
             record.fence_stamp = None
@@ -120,41 +121,41 @@
             record.fence_stamp = report.stamp_ms
         return fresh
 
-    def _note_worker(self, record: WorkerRecord, told: WorkerState, report: AgentReport) -> None:
+    def _note_worker(self, record: WorkerRecord, reported: WorkerState, report: AgentReport) -> None:
         state = self._state
         worker = record.worker
-        capacity = Resources(told.cpu, told.memory_mb, told.gpu)
-        if worker.service != told.service:
+        capacity = Resources(reported.cpu, reported.memory_mb, reported.gpu)
+        if worker.service != reported.service:
             state.service(worker.service).workers.pop(worker.instance, None)
-            worker.service = told.service
+            worker.service = reported.service
         if worker.capacity != capacity:
             worker.capacity = capacity
             state.service(worker.service).dirty = True
         state.service(worker.service).workers[worker.instance] = worker
         state.placeable[worker.instance] = worker
-        worker.zone = told.zone
-        labels = frozenset(told.labels)
+        worker.zone = reported.zone
+        labels = frozenset(reported.labels)
         if worker.labels != labels:
             worker.labels = labels
-            worker.rack = rack_of(told.labels)
+            worker.rack = rack_of(reported.labels)
             self._note_distances(record)
-        if told.draining and (not record.draining or told.remaining_ms != record.remaining_ms):
-            record.leaves_ms = state.now_ms + told.remaining_ms
-        record.draining = told.draining
-        record.remaining_ms = told.remaining_ms
+        if reported.draining and (not record.draining or reported.remaining_ms != record.remaining_ms):
+            record.leaves_ms = state.now_ms + reported.remaining_ms
+        record.draining = reported.draining
+        record.remaining_ms = reported.remaining_ms
         record.silent = report.silent_ms > state.bounds.silent_ms
 
     def _note_distances(self, record: WorkerRecord) -> None:
-        """Which of the runs there are away from their data: those of an earlier dispatcher don't say."""
+        """Mark the runs that are away from their data; the records of inherited runs do not tell."""
         for run in record.runs.values():
             affinity = run.task.step.spec.affinity
             if affinity and record.worker.rack != affinity:
-                run.far = self._state.bounds.far_x
+                run.duration_factor = self._state.bounds.far_x
 
     # Holds
 
-    def _take_in_lapse(self, record: WorkerRecord, report: AgentReport) -> None:
-        """Everything that the agent knew of at its last report is over."""
+    def _release_lapsed(self, record: WorkerRecord, report: AgentReport) -> None:
+        """Release the answered runs of a worker whose holds have all lapsed."""
         if report.lapsed:
             for run in list(record.runs.values()):
                 if run.answered_stamp is not None and run.answered_stamp < report.stamp_ms:
@@ -167,7 +168,7 @@
         record.granted_stamp = report.stamp_ms
 
     def _release(self, record: WorkerRecord, run: Run) -> None:
-        """The run is over for certain; should its order still be under way there, it is barred."""
+        """Resolve a run that is certainly over; a stop order blocks a start order still in flight."""
         if run.state is RunState.CLOSED:
             return
         if run.state is not RunState.PLACING:
@@ -176,12 +177,12 @@
         self._state.counters.lost_runs += 1
         self._ends.resolve(run, Ending.LOST, "")
 
-    def _gone(self, record: WorkerRecord) -> None:
-        """This incarnation runs nothing any more."""
+    def _remove_worker(self, record: WorkerRecord) -> None:
+        """Remove an incarnation that runs nothing any more, and resolve its runs."""
         state = self._state
         state.workers.pop(record.instance, None)
         state.gone[record.instance] = None
-        if len(state.gone) > REMEMBERED_GONE:
+        if len(state.gone) > MAX_GONE_REMEMBERED:
             state.gone.popitem(last=False)
         if state.by_machine.get(record.worker.machine) == record.instance:
             del state.by_machine[record.worker.machine]
@@ -198,16 +199,16 @@
     # Readiness and time
 
     def lost(self, machine: str) -> None:
-        """The connection to the agent has closed."""
+        """Handle the loss of the connection to an agent."""
         record = self._state.workers.get(self._state.by_machine.get(machine, ""))
         if record is None:
             return
         record.connected = False
-        record.starts_out, record.stops_out = [], []
+        record.unsent_starts, record.unsent_stops = [], []
         self.update_ready(record)
 
     def update_ready(self, record: WorkerRecord) -> None:
-        """Whether tasks may be placed there now."""
+        """Update whether tasks may be placed on the worker."""
         state = self._state
         held = state.now_ms < record.granted_ms + state.bounds.hold // 2
         ready = (
@@ -224,11 +225,11 @@
         record.worker.ready = ready
 
     def tick(self) -> None:
-        """Release what is over for certain, repeat what has no answer, forget who is long gone."""
+        """Release runs that are certainly over, repeat unanswered orders, forget long-silent workers."""
         state = self._state
-        if state.now_ms - self._looked_ms < PERIOD_MS:
+        if state.now_ms - self._last_check_ms < CHECK_PERIOD_MS:
             return
-        self._looked_ms = state.now_ms
+        self._last_check_ms = state.now_ms
         for record in list(state.workers.values()):
             age = state.now_ms - record.granted_ms
             if record.runs and age >= state.bounds.empty_after_ms:
@@ -239,11 +240,11 @@
                 if record.draining and record.runs:
                     self._moves.evacuate(record)
             elif not record.runs and age >= FORGET_WORKER_MS:
-                self._gone(record)
+                self._remove_worker(record)
                 continue
             self.update_ready(record)
 
 
 def rack_of(labels: tuple[str, ...]) -> str:
-    """The label that names the rack: its kind comes first, its rack after it."""
+    """The label that names the rack; labels start with the kind of the worker, followed by the rack."""
     return labels[1] if len(labels) > 1 else ""
--- a/tests/system/test_jobs_faults.py
+++ b/tests/system/test_jobs_faults.py
@@ -1,4 +1,4 @@
-"""Days with faults in virtual time: no rule may break, and every job comes to its end after the trouble."""
+"""Random faults in virtual time: no guarantee may be violated, and every job ends after the faults."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from .jobs_world import WALL_0, World, job_id
 from .support.worker_plan import RunPlan
 
-TROUBLE_MS = 20_000
+FAULT_PERIOD_MS = 20_000
 JOBS = 14
 
 
-def varied(rng: random.Random, gang: int, checkpoints: bool, lasting: bool) -> RunPlan:
-    """What a run does; some fail."""
+def random_plan(rng: random.Random, gang: int, checkpoints: bool, lasting: bool) -> RunPlan:
+    """A random run plan; some runs fail."""
     how = "failed" if rng.random() < (0.3 if lasting else 0.06) else "done"
     return RunPlan(rng.choice([120, 400, 900, 2_500, 6_000]), how, checkpoints, gang)
 
 
-class FaultyDay:
-    """A world, its jobs and its troubles, all drawn from a seed."""
+class FaultScenario:
+    """A world with jobs and faults, all drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -38,20 +38,20 @@
         self.number = 0
 
     def play(self) -> None:
-        """Jobs and troubles for a while, then calm."""
+        """Run jobs with faults for a while, then without faults."""
         world, rng = self.world, self.rng
         world.run(1_200)
         for _ in range(JOBS):
-            world.after(rng.uniform(0, TROUBLE_MS), self.submit)
+            world.after(rng.uniform(0, FAULT_PERIOD_MS), self.submit)
         for _ in range(rng.randint(2, 9)):
-            world.after(rng.uniform(300, TROUBLE_MS), rng.choice(self.troubles()))
+            world.after(rng.uniform(300, FAULT_PERIOD_MS), rng.choice(self.troubles()))
         for _ in range(30):
-            world.after(rng.uniform(300, TROUBLE_MS + 20_000), self.ask)
-        world.run(TROUBLE_MS)
+            world.after(rng.uniform(300, FAULT_PERIOD_MS + 20_000), self.ask)
+        world.run(FAULT_PERIOD_MS)
         world.run(60_000)
 
     def troubles(self) -> list[Callable[[], None]]:
-        """What may happen."""
+        """The faults to choose from."""
         return [
             self.kill_dispatcher,
             self.kill_dispatcher,
@@ -66,11 +66,11 @@
         ]
 
     def machine(self) -> Machine:
-        """Any machine."""
+        """A random machine."""
         return self.rng.choice(list(self.world.machines.values()))
 
     def submit(self) -> None:
-        """A job of any kind."""
+        """Submit a random job, some of them with repeated submissions and cancels."""
         world, rng = self.world, self.rng
         self.number += 1
         steps: list[dict[str, Any]] = []
@@ -103,7 +103,7 @@
         def plan(task: str) -> RunPlan:
             step = steps[int(task.split(".")[2])]
             gang = step["count"] if step.get("gang") else 1
-            return varied(plan_rng, gang, bool(step.get("checkpoints")), bool(step.get("longRunning")))
+            return random_plan(plan_rng, gang, bool(step.get("checkpoints")), bool(step.get("longRunning")))
 
         job = job_id(self.number)
         world.submit(job, steps, plan, **body)
@@ -111,33 +111,33 @@
             world.after(rng.uniform(100, 4_000), partial(world.submit, job, steps, plan, **body))
         if rng.random() < 0.15 or any(step.get("longRunning") for step in steps):
             world.after(rng.uniform(2_000, 12_000), partial(world.call, Method.CANCEL, job))
-            world.after(TROUBLE_MS + 15_000, partial(world.call, Method.CANCEL, job))
+            world.after(FAULT_PERIOD_MS + 15_000, partial(world.call, Method.CANCEL, job))
 
     def ask(self) -> None:
-        """Ask for a job's state."""
+        """Query the state of a random job."""
         if self.number:
             self.world.call(Method.STATUS, job_id(self.rng.randint(1, self.number)))
 
     def kill_dispatcher(self) -> None:
-        """It dies, and another takes over."""
+        """Kill the dispatcher; another one takes over."""
         if self.world.dispatcher is not None:
             self.world.fail_dispatcher()
             self.world.after(self.rng.uniform(900, 2_500), self.world.elect)
 
     def crash_worker(self) -> None:
-        """A worker dies."""
+        """Crash a worker."""
         machine = self.machine()
         if not machine.worker.dead:
             self.world.crash_worker(machine, self.rng.uniform(500, 4_000))
 
     def cut_agent(self) -> None:
-        """An agent does not reach the dispatcher."""
+        """Cut an agent off from the dispatcher."""
         machine = self.machine()
         self.world.set_cut(machine, True)
         self.world.after(self.rng.uniform(300, 12_000), partial(self.world.set_cut, machine, False))
 
     def cut_worker(self) -> None:
-        """An agent does not reach its worker."""
+        """Cut an agent off from its worker."""
         machine = self.machine()
         machine.worker_cut = True
         self.world.faults += 1
@@ -148,13 +148,13 @@
         self.world.after(self.rng.uniform(300, 14_000), end)
 
     def kill_agent(self) -> None:
-        """An agent is killed."""
+        """Kill an agent."""
         machine = self.machine()
         if machine.agent is not None:
             self.world.crash_agent(machine, self.rng.uniform(100, 4_000))
 
     def late_orders(self) -> None:
-        """Orders get no answer and are carried out later."""
+        """Leave orders unanswered and carry them out later."""
         machine = self.machine()
         machine.late_share = 0.5
         self.world.faults += 1
@@ -165,7 +165,7 @@
         self.world.after(self.rng.uniform(1_000, 6_000), end)
 
     def drain(self) -> None:
-        """A worker says that it leaves, and goes; another comes."""
+        """Drain a worker, then stop it; another one takes its place."""
         machine = self.machine()
         if machine.worker.dead or machine.worker.draining_since is not None:
             return
@@ -173,14 +173,14 @@
         self.world.after(4_500, partial(self.world.crash_worker, machine, 1_000))
 
     def stall(self) -> None:
-        """What a worker starts from now on stands still."""
-        self._hamper(500.0)
+        """Stall the runs that a worker starts from now on."""
+        self._slow_down(500.0)
 
     def slow(self) -> None:
-        """What a worker starts from now on takes longer."""
-        self._hamper(self.rng.uniform(3, 8))
+        """Slow down the runs that a worker starts from now on."""
+        self._slow_down(self.rng.uniform(3, 8))
 
-    def _hamper(self, factor: float) -> None:
+    def _slow_down(self, factor: float) -> None:
         worker = self.machine().worker
         worker.factor = factor
 
@@ -192,13 +192,15 @@
     def unfinished(self) -> list[str]:
         """Accepted jobs that have not ended."""
         accepted = {
-            told.job for told in self.world.told if told.method is Method.SUBMIT and told.answer.status == 200
+            received.job
+            for received in self.world.client_answers
+            if received.method is Method.SUBMIT and received.answer.status == 200
         }
         return [job for job in sorted(accepted) if self.world.state_of(job) in ("queued", "running", "410")]
 
 
-class FaultyDays(unittest.TestCase):
-    """Any mix of troubles."""
+class FaultScenarios(unittest.TestCase):
+    """Random jobs with random faults."""
 
     @settings(
         max_examples=25,
@@ -208,8 +210,8 @@
         database=None,
     )
     @given(st.integers(0, 1_000_000))
-    def test_no_rule_breaks_and_every_job_ends(self, seed: int) -> None:
-        day = FaultyDay(seed)
+    def test_no_guarantee_is_violated_and_every_job_ends(self, seed: int) -> None:
+        day = FaultScenario(seed)
         day.play()
         self.assertEqual(Judge(day.world).check(), [])
         self.assertEqual(day.unfinished(), [])
--- a/tests/system/test_jobs_long_history.py
+++ b/tests/system/test_jobs_long_history.py
@@ -1,4 +1,4 @@
-"""Many jobs in one history: what is kept in the store stays bounded, and a store near its bound recovers."""
+"""Many jobs in sequence: the stored size stays bounded, and a store near its limit recovers."""
 
 from __future__ import annotations
 
@@ -17,54 +17,56 @@
 from .jobs_world import World, job_id, simple
 
 JOBS = 20_000
-JOBS_AT_ONCE = 20
-BATCH_MS = 500.0  # 40 jobs a second
-TAKEOVER_EVERY = 2_500  # jobs
+JOBS_PER_BATCH = 20
+BATCH_PERIOD_MS = 500.0  # 40 jobs per second
+TAKEOVER_EVERY = 2_500  # jobs between two takeovers
 STATUS_S = 10
-MOST_STORE_BYTES = 400_000  # of 1,200 ended jobs and some tens of active ones
+MAX_STORE_BYTES = 400_000  # for 1,200 ended jobs and some tens of active ones
 SPEC_BYTES = 2_000
-TASKS = 12  # of a job
-MOST_JOBS = 1_000
+TASKS = 12  # per job
+MAX_SUBMISSIONS = 1_000
 
 
 def stored_bytes(world: World) -> int:
-    """What the dispatcher's records take in a replica's store."""
+    """Size of the dispatcher's records in a replica's store."""
     return sum(entry_bytes(key, value) for key, value in world.store.items())
 
 
 class TwentyThousandJobs(unittest.TestCase):
-    """With changes of the dispatcher in between."""
+    """20,000 jobs with several changes of the dispatcher."""
 
-    def test_the_store_stays_bounded_and_every_job_is_done_once(self) -> None:
+    def test_the_store_stays_bounded_and_every_accepted_job_is_done(self) -> None:
         world = World(seed=5, machines=4, cpu=16_000)
         world.bounds = replace(world.bounds, status_s=STATUS_S)
         world.elect()
         world.run(2_000)
         largest = 0
-        for first in range(0, JOBS, JOBS_AT_ONCE):
+        for first in range(0, JOBS, JOBS_PER_BATCH):
             if first and first % TAKEOVER_EVERY == 0:
                 world.fail_dispatcher()
                 world.elect()
-            for number in range(first, first + JOBS_AT_ONCE):
+            for number in range(first, first + JOBS_PER_BATCH):
                 world.submit(
                     job_id(number), [{"count": 1, "cpu": 500, "memMb": 10, "estimateMs": 200}], simple(200)
                 )
-            world.run(BATCH_MS)
+            world.run(BATCH_PERIOD_MS)
             largest = max(largest, stored_bytes(world))
         world.run(5_000)
         accepted = {
-            told.job for told in world.told if told.method is Method.SUBMIT and told.answer.status == 200
+            received.job
+            for received in world.client_answers
+            if received.method is Method.SUBMIT and received.answer.status == 200
         }
         done = {seen.task.partition(".")[0] for seen in world.seen if seen.how == "done"}
         self.assertGreater(len(accepted), JOBS * 98 // 100)
         self.assertEqual(set(), accepted - done)
-        self.assertLess(largest, MOST_STORE_BYTES)
+        self.assertLess(largest, MAX_STORE_BYTES)
         world.run(STATUS_S * 1_500 + 1_000)
         self.assertEqual(0, stored_bytes(world))
 
 
-class NearTheBound(unittest.TestCase):
-    """Work comes while there is no worker, until the store has no room for more."""
+class StoreNearItsBound(unittest.TestCase):
+    """Jobs are submitted without any worker until the store is full."""
 
     def setUp(self) -> None:
         self.bound = content_bound(1 * MEGABYTE)
@@ -74,22 +76,22 @@
         self.world.run(2_000)
 
     def fill(self, first: int = 0) -> int:
-        """Hand jobs in until one is refused; returns how many were accepted."""
-        for number in range(first, first + MOST_JOBS):
-            answer = self.hand_in(job_id(number))
+        """Submit jobs until one is rejected; returns the number accepted."""
+        for number in range(first, first + MAX_SUBMISSIONS):
+            answer = self.submit_job(job_id(number))
             if answer.status != 200:
                 self.assertEqual((429, 1_000), (answer.status, answer.retry_after_ms))
                 return number - first
         raise AssertionError("nothing was refused")
 
-    def hand_in(self, job: str) -> JobAnswer:
-        """Submit a job of some tasks."""
+    def submit_job(self, job: str) -> JobAnswer:
+        """Submit a job with `TASKS` tasks."""
         steps = [{"count": TASKS, "cpu": 100, "memMb": 10, "estimateMs": 500}]
         body = json.dumps({"spec": "s" * SPEC_BYTES, "steps": steps}).encode()
         self.world.plans.setdefault(job, simple(500))
         return self.world.ask(Method.SUBMIT, job, body=body)
 
-    def test_jobs_are_refused_in_time_and_what_was_accepted_is_done_within_the_bound(self) -> None:
+    def test_jobs_are_rejected_in_time_and_accepted_ones_complete_within_the_limit(self) -> None:
         accepted = self.fill()
         self.assertGreater(accepted, 10)
         largest = stored_bytes(self.world)
@@ -106,7 +108,7 @@
         self.world.run(20_000)
         self.assertEqual(accepted, self.fill(accepted))
 
-    def test_a_new_dispatcher_counts_the_same(self) -> None:
+    def test_a_new_dispatcher_computes_the_same_kept_bytes(self) -> None:
         self.fill()
         assert self.world.dispatcher is not None
         counted = self.world.dispatcher.state.kept_bytes
@@ -115,8 +117,8 @@
         assert self.world.dispatcher is not None
         self.assertEqual(counted, self.world.dispatcher.state.kept_bytes)
 
-    def test_without_tasks_in_the_count_the_store_would_be_full(self) -> None:
-        """The line of defence: the records of tasks that are yet to be placed have their room beforehand."""
+    def test_without_reserved_task_records_the_store_exceeds_its_limit(self) -> None:
+        """Admission must reserve space for the records of tasks that are not placed yet."""
         with mock.patch.object(durable, "most_bytes", lambda body, tasks, timed: len(body)):
             self.fill()
         for name in ("m0", "m1", "m2"):
@@ -129,22 +131,22 @@
 
 
 def node_settings(data_dir: str | None, limits: Limits) -> NodeSettings:
-    """The settings of a replica's process."""
+    """Settings of a replica's process."""
     return NodeSettings(
         "frontend-a-1", "scheduler", "10.1.0.1", "a", (7_000, 7_015), data_dir=data_dir, limits=limits
     )
 
 
-class TheBoundOfADeployment(unittest.TestCase):
-    """What the settings of a process say."""
+class BoundFromSettings(unittest.TestCase):
+    """The limit derived from the settings of a process."""
 
-    def test_it_leaves_room_in_the_replicas_store(self) -> None:
+    def test_the_limit_fits_into_the_replicas_store(self) -> None:
         for disk_mb in (32, 128, 192):
             settings = node_settings("/data", Limits(disk_mb=disk_mb))
             bounds = dispatcher_bounds(settings)
             self.assertLess(bounds.max_kept_bytes, content_bound(disk_mb * MEGABYTE))
 
-    def test_without_a_disk_it_is_a_part_of_the_memory(self) -> None:
+    def test_without_a_disk_the_limit_is_a_share_of_the_memory(self) -> None:
         settings = node_settings(None, Limits(memory_mb=320))
         self.assertEqual(20 * MEGABYTE, dispatcher_bounds(settings).max_kept_bytes)
 
