--- a/flintfield/__main__.py
+++ b/flintfield/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m flintfield` runs one real scheduler."""
+"""`python -m flintfield` runs one scheduler."""
 
 from flintfield.lifecycle.start import main
 
--- a/flintfield/lifecycle/__init__.py
+++ b/flintfield/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, log lines, the running program and its end."""
+"""Start and stop of the scheduler: configuration, log lines and the running program."""
--- a/flintfield/lifecycle/log.py
+++ b/flintfield/lifecycle/log.py
@@ -9,7 +9,7 @@
 
 
 def make_log(**bound: Any) -> Any:
-    """A logger that stamps time, level and the bound values on each line."""
+    """Make a logger that adds the time, the level and the bound values to each line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/flintfield/lifecycle/operators.py
+++ b/flintfield/lifecycle/operators.py
@@ -1,7 +1,7 @@
-"""The operators' INI file, named on the command line: its sections are handed to the features that own them.
+"""The operators' INI file, named on the command line. Its sections are passed to the features that own them.
 
-A section turns its feature on; without it the feature is off and the program behaves as if it were not there.
-What is faulty is an `OperatorsError` that names `[section] key`.
+A section turns its feature on; without one the feature is off and the program behaves as if it did not exist.
+Faults raise an `OperatorsError` that names `[section] key`.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """A feature that is on, with what its sections say."""
+    """A feature that is turned on, with the parsed content of its sections."""
 
     feature: Feature
     given: Given
 
     def build(self, host: Host) -> Unit:
-        """Make its unit."""
+        """Build the unit of the feature."""
         return self.feature.build(host, self.given)
 
 
 Operators = make_dataclass("Operators", [(name, Any, None) for name in UNITS], frozen=True, slots=True)
-"""A field for each section's first word: what is chosen, or None. A feature stands under its first one."""
+"""A field for the first word of each section: the feature, under its first such word, or None."""
 
 
 def read_operators(path: str | None) -> Any:
-    """Read the file into `Operators`; no name means that all features are off."""
+    """Read the file into `Operators`; all features are off if `path` is None."""
     return Operators(**({} if path is None else _choose(read_file(path))))
 
 
 def chosen(operators: Any, config: Config | None = None) -> Sequence[Chosen]:
-    """The features that are on, in the order of the lists; `config` turns on some too."""
+    """The features that are on, in the order of the lists, including those turned on by `config`."""
     found = [getattr(operators, item.name) for item in fields(operators)]
     for place, names in CONFIGURED.items() if config else ():
         if any(getattr(config, name) is not None for name in names):
@@ -60,6 +60,6 @@
         if (place := wanted.pop()) not in features:
             features[place] = find_feature(place)
             wanted += [UNITS[name] for name in features[place].needs]
-    firsts = {place: name for name, place in reversed(list(UNITS.items()))}
-    return {firsts[place]: Chosen(feature, feature.read(by_place.get(place, {})))
+    first_words = {place: name for name, place in reversed(list(UNITS.items()))}
+    return {first_words[place]: Chosen(feature, feature.read(by_place.get(place, {})))
             for place, feature in features.items()}
--- a/flintfield/lifecycle/start.py
+++ b/flintfield/lifecycle/start.py
@@ -1,4 +1,4 @@
-"""Start: configuration, log, signals, the event loop; and the program's exit code."""
+"""Program start: configuration, log, signals, event loop and exit code."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from flintfield.wire.http1.sockets import LOOP
 
 BAD_CONFIG = 2
-COMPLETE = "_FLINTFIELD_COMPLETE"  # a shell asks for completions, in place of a command
+COMPLETION_VARIABLE = "_FLINTFIELD_COMPLETE"  # set by shells that request completions
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one real scheduler until SIGTERM or SIGINT, or carry out a command; the exit code.
+    """Run one scheduler until SIGTERM or SIGINT, or run a command; return the exit code.
 
-    Guards against the memory that a scheduler at work would hold for commands that it does not use: what asks
-    for nothing but a scheduler is read here, all else by `flintfield.cli`.
+    Arguments that only start a scheduler are parsed here and all others by `flintfield.cli`, so that a
+    running scheduler does not hold memory for commands that it does not use.
     """
     given = list(sys.argv[1:] if arguments is None else arguments)
     match given[1:] if given[:1] == ["run"] else given:
-        case [] if COMPLETE not in os.environ:
+        case [] if COMPLETION_VARIABLE not in os.environ:
             return serve(None)
         case ["--ini", file] if not file.startswith("-"):
             return serve(file)
@@ -42,7 +42,7 @@
 
 
 def serve(ini: str | None) -> int:
-    """Run one real scheduler with that operators' file; the exit code."""
+    """Run one scheduler with this operators' file; return the exit code."""
     try:
         operators = read_operators(ini)
         config = read_config(os.environ)
@@ -71,13 +71,13 @@
             raise
         raise fault("LB_ACCEPT_FD", config.accept_fd, f"a listening socket: {error}") from error
     async with anyio.create_task_group() as tasks:
-        # Guards against a signal right after the start, which would kill a program that does not listen yet.
-        await tasks.start(_heed_signals, program, stop_asked, log)
+        # Signals are handled before the program runs: one right after the start would kill the process.
+        await tasks.start(_handle_signals, program, stop_asked, log)
         await program.run(stop_asked)
         tasks.cancel_scope.cancel()
 
 
-async def _heed_signals(
+async def _handle_signals(
     program: Program, stop_asked: anyio.Event, log: Any, *, task_status: TaskStatus[None]
 ) -> None:
     units = program.signals()
@@ -93,7 +93,7 @@
 
 
 def _reload(program: Program, log: Any) -> None:
-    """Read the configuration again; guards against a faulty file ending a scheduler that serves."""
+    """Reload the configuration; a faulty file is logged and the scheduler continues to serve."""
     program.reload_units()
     try:
         config = read_config(os.environ)
--- a/flintfield/lifecycle/units.py
+++ b/flintfield/lifecycle/units.py
@@ -1,6 +1,6 @@
-"""The list of units: the first word of a section's name, and where the feature is declared that owns it.
+"""The list of units: the first word of a section's name, and where its feature is declared.
 
-A feature is imported when the operators' file has a section of its own. A new one is a line here.
+A feature is imported only if the operators' file has one of its sections. To add a feature, add a line here.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
     "quota": "flintfield.units.sharing:FEATURE",
     "maintenance": "flintfield.units.maintenance:FEATURE",
 }
-"""In the order in which units are built and asked. Sections of one feature name the same place."""
+"""In the order in which units are built and called. Sections of one feature have the same value."""
 
 
 CONFIGURED: Mapping[str, tuple[str, ...]] = {
     "flintfield.units.operations:FEATURE": ("admin", "accept_fd"),
     "flintfield.units.upgrade:FEATURE": ("accept_fd",),
 }
-"""Features that fields of the platform's configuration turn on, where one is set. Built after the others."""
+"""Features turned on by fields of the platform's configuration, if one is set. Built after the others."""
 
 
 def find_feature(place: str) -> Feature:
-    """Import the feature that is declared there; an `OperatorsError` if a package it needs is missing."""
+    """Import the feature declared at `place`; raises `OperatorsError` if a required package is missing."""
     module, _, name = place.partition(":")
     try:
         feature = getattr(import_module(module), name)
--- a/flintfield/memory/__init__.py
+++ b/flintfield/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory, and the one reducer that changes it."""
+"""The in-memory state of the scheduler and the reducer that changes it."""
--- a/flintfield/memory/barred.py
+++ b/flintfield/memory/barred.py
@@ -1,4 +1,4 @@
-"""Next hops that get nothing new for an order's sake: by hand, and by plan. A part of `State`."""
+"""Next hops that operators or the maintenance plan exclude from new jobs. Part of `State`."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Barred:
-    """Who is out, by whose order, and who was let back; `State.barred` has all that are out."""
+    """Excluded and readmitted next hops, by who ordered it; `State.barred` has all that are excluded."""
 
-    __slots__ = ("by_hand", "by_plan", "hand_back", "plan_back")
+    __slots__ = ("by_hand", "by_plan", "manual_returns", "planned_returns")
 
     def __init__(self) -> None:
         self.by_hand: frozenset[WorkerId] = frozenset()
         self.by_plan: frozenset[WorkerId] = frozenset()
-        self.hand_back: tuple[tuple[WorkerId, float], ...] = ()
-        self.plan_back: dict[WorkerId, float] = {}
+        self.manual_returns: tuple[tuple[WorkerId, float], ...] = ()
+        self.planned_returns: dict[WorkerId, float] = {}
 
     def all(self) -> frozenset[WorkerId]:
-        """All that are out."""
+        """All excluded next hops."""
         return self.by_hand | self.by_plan
 
     def told(self, newer: bool) -> ByHand:
-        """What the decision module is told: all that are out, and all that were let back and when."""
-        back, out = dict(self.plan_back), self.all()
-        for worker, at in self.hand_back:
+        """The event for the decision module: excluded next hops, and readmitted ones with their times."""
+        back, out = dict(self.planned_returns), self.all()
+        for worker, at in self.manual_returns:
             back[worker] = max(at, back.get(worker, 0.0))
         return ByHand(tuple(sorted(out)), tuple((w, at) for w, at in back.items() if w not in out), newer)
--- a/flintfield/memory/branching.py
+++ b/flintfield/memory/branching.py
@@ -1,4 +1,4 @@
-"""How branches are let out, and how they end."""
+"""Sending of branches to next hops, and the end of branches."""
 
 from __future__ import annotations
 
@@ -7,34 +7,36 @@
 from flintfield.memory.messages import (
     BranchEnded, BranchNoted, DropBranch, End, Ending, Reach, Route, Verdict, WriteBranch,
 )
-from flintfield.memory.state import Branch, BranchDue, Transaction
+from flintfield.memory.state import Branch, BranchTimer, Transaction
 
 OUTCOMES = {
     End.DONE: Outcome.OK, End.FAILED: Outcome.ERROR, End.DECLINED: Outcome.FULL, End.LOST: Outcome.RESET,
 }
 
 
-ERRORS = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.RESET})
-"""The outcomes of branches and probes that tell of a trouble at a next hop; being full is none."""
+HOP_FAULTS = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.UNSENT,
+                        Outcome.RESET})
+"""Outcomes of branches and probes that indicate a fault at a next hop; a full next hop has no fault."""
 
 
-# What a broken connection proves: nothing once the last byte may have left, and nothing against the next hop
-# if it was never tried.
-BROKEN = {Reach.UNTRIED: Outcome.MOOT, Reach.DIALLING: Outcome.CONNECT_FAILED, Reach.WRITING: Outcome.UNSENT}
+# What a broken connection proves, by the progress of the attempt. Once the last byte may have been sent, the
+# job may have run (RESET). An attempt that was never started says nothing about the next hop.
+BROKEN_OUTCOMES = {Reach.UNTRIED: Outcome.MOOT, Reach.DIALLING: Outcome.CONNECT_FAILED,
+                   Reach.WRITING: Outcome.UNSENT}
 
 
 def outcome_of(ending: Ending) -> Outcome:
-    """What an ending proves."""
+    """The outcome that an ending proves."""
     if ending.end is End.BROKEN:
-        return BROKEN.get(ending.reach, Outcome.RESET)
+        return BROKEN_OUTCOMES.get(ending.reach, Outcome.RESET)
     return OUTCOMES[ending.end]
 
 
 class Branching(Answering):
     """The attempts of a transaction."""
 
-    def _out(self, rid: int, number: int) -> tuple[Transaction, Branch] | None:
-        """The branch if it is still out: what comes later is ignored."""
+    def _open_branch(self, rid: int, number: int) -> tuple[Transaction, Branch] | None:
+        """The branch if it has not ended; messages for ended branches are counted and ignored."""
         transaction = self.state.transactions.get(rid)
         if transaction is None or transaction.branches[number].ended:
             self.state.counters["branches.late_word"] += 1
@@ -42,16 +44,17 @@
         return transaction, transaction.branches[number]
 
     def _ready_route(self, transaction: Transaction, branch: Branch) -> Route | None:
-        """Where the branch may be written now, if it still may.
+        """The route of the branch if its request may still be written; else None.
 
-        Guards against a first byte after the drain's grace: the dial, or a disk, may have outlasted it.
+        Checked just before the first byte, because a drain may have started, and its grace period passed,
+        during the connect or the disk write.
         """
         route = self.state.routes.get(branch.worker)
         if route is None or route.entry.state is not Lifecycle.READY or transaction.answered:
             return None
         return None if branch.worker in self.state.barred else route
 
-    def _let_out(self, transaction: Transaction, number: int) -> None:
+    def _write_request(self, transaction: Transaction, number: int) -> None:
         branch = transaction.branches[number]
         route = self._ready_route(transaction, branch)
         if route is None:
@@ -64,19 +67,19 @@
         if self.state.jobs:
             self.state.jobs.run(transaction.submission.name, route.name)
             if not branch.held:
-                self._keep(transaction.submission.name)
+                self._write_record(transaction.submission.name)
         self.effects.append(WriteBranch(transaction.rid, number, transaction.submission,
                                         max(1.0, transaction.deadline - self.now)))
 
     def branch_noted(self, message: BranchNoted) -> None:
-        if found := self._out(message.rid, message.branch):
+        if found := self._open_branch(message.rid, message.branch):
             if self.state.jobs and message.share and not found[0].answered:
                 self.state.jobs.note(found[0].submission.name, message.share)
             self._events.append(Note(message.rid, message.branch, found[1].worker, message.started,
                                      message.share))
 
     def branch_ended(self, message: BranchEnded) -> None:
-        if found := self._out(message.rid, message.branch):
+        if found := self._open_branch(message.rid, message.branch):
             ending = message.ending
             outcome = outcome_of(ending)
             if outcome is Outcome.OK:
@@ -88,32 +91,33 @@
         branch = transaction.branches[number]
         branch.ended, branch.never_ran = True, outcome in NEVER_RAN
         if branch.timed:
-            self.state.timers.cancel(BranchDue(transaction.rid, number))
+            self.state.timers.cancel(BranchTimer(transaction.rid, number))
         at_work = any(b.written and not b.ended for b in transaction.branches)
         if self.state.jobs and not transaction.answered:
-            self._note_end(transaction, branch, outcome, at_work)
+            self._track_branch_end(transaction, branch, outcome, at_work)
         self.state.counters[f"branches.ended.{outcome.value}"] += 1
-        self._note_error(branch.worker, outcome)
+        self._record_error(branch.worker, outcome)
         report = ending.report if ending else None
         self._events.append(AttemptEnded(transaction.rid, number, branch.worker, outcome,
                                          self.now - branch.opened, transaction.answered, report))
         self._forget_settled(transaction)
 
-    def _note_end(self, transaction: Transaction, branch: Branch, outcome: Outcome, at_work: bool) -> None:
+    def _track_branch_end(self, transaction: Transaction, branch: Branch, outcome: Outcome,
+                          at_work: bool) -> None:
         jobs, name = self.state.jobs, transaction.submission.name
         assert jobs is not None
         never_ran = outcome in NEVER_RAN or not branch.written
         if not never_ran:
-            jobs.doubt(name)
+            jobs.mark_possibly_run(name)
         if not at_work:
             jobs.wait(name)
             if never_ran and (branch.written or branch.held):
-                self._keep(name)  # takes back that it was let out
+                self._write_record(name)  # reverts the record that the branch was sent
 
-    def _note_error(self, worker: WorkerId, outcome: Outcome) -> None:
-        if outcome in ERRORS and worker in self.state.routes:
+    def _record_error(self, worker: WorkerId, outcome: Outcome) -> None:
+        if outcome in HOP_FAULTS and worker in self.state.routes:
             self.state.last_errors[worker] = self.now, outcome.value
 
-    def _drop(self, transaction: Transaction, number: int, outcome: Outcome) -> None:
+    def _drop_branch(self, transaction: Transaction, number: int, outcome: Outcome) -> None:
         self.effects.append(DropBranch(transaction.rid, number))
         self._end_branch(transaction, number, outcome)
--- a/flintfield/memory/effects.py
+++ b/flintfield/memory/effects.py
@@ -1,4 +1,4 @@
-"""What the reducer asks for (effects): plain values, no I/O; read from messages.py, their door."""
+"""Effects, the outputs of the reducer: plain values, no I/O. Import them from messages.py."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @value
 class OpenBranch:
-    """Get a connection to a next hop, a used one only if it `may_reuse`; then tell `BranchUp`."""
+    """Connect to a next hop, reusing a connection only if `may_reuse`; then report `BranchUp`."""
 
     rid: int
     branch: int
@@ -21,7 +21,7 @@
 
 @value
 class HoldBranch:
-    """Keep the branch's connection, unwritten, until `WriteBranch` or `DropBranch`."""
+    """Keep the branch's connection without writing to it until `WriteBranch` or `DropBranch`."""
 
     rid: int
     branch: int
@@ -29,7 +29,7 @@
 
 @value
 class WriteBranch:
-    """Write the request on the branch's connection; the next hop has until `deadline`."""
+    """Write the request on the branch's connection; the next hop has `wait_ms` to answer."""
 
     rid: int
     branch: int
@@ -39,7 +39,7 @@
 
 @value
 class DropBranch:
-    """Close the branch's connection now, whatever it is doing."""
+    """Close the branch's connection immediately, whatever its state."""
 
     rid: int
     branch: int
@@ -47,14 +47,14 @@
 
 @value
 class Answer:
-    """Give the caller its final answer; `close` ends the caller leg after it."""
+    """Send the caller its final answer; `close` closes the caller connection afterwards."""
 
     rid: int
     verdict: Verdict
     body: bytes = b""
     retry_after_ms: float = 0.0
     close: bool = False
-    limited: bool = False  # refused for a limit that is the caller's own, not for want of room
+    limited: bool = False  # refused because of a limit of this caller, not for lack of capacity
 
 
 @value
@@ -67,9 +67,9 @@
 
 @value
 class CallDiscovery:
-    """Make one watch call for what is newer than `generation`, or ask for the whole list if it is None.
+    """Make one watch call for changes since `generation`, or for the whole list if it is None.
 
-    `waits`: for news, if there are none yet; else it is to be answered at once.
+    `waits`: the call waits until there are changes; otherwise it is answered immediately.
     """
 
     call: int
@@ -80,40 +80,40 @@
 
 @value
 class LeaveDiscovery:
-    """End the call that is out, if any, and close all connections to that address."""
+    """Cancel the pending call, if any, and close all connections to that address."""
 
     address: Address
 
 
 @value
 class JobOpened:
-    """A job of that id is in work here; asked for while other processes of this scheduler are linked."""
+    """A job with that id is open here; emitted while other processes of this scheduler are linked."""
 
     name: str
 
 
 @value
 class JobClosed:
-    """It is settled."""
+    """A job that was announced by `JobOpened` is settled."""
 
     name: str
 
 
 @value
 class SendAway:
-    """Close callers' connections as they fall idle, as long as the scheduler is drained."""
+    """Close callers' connections as they become idle, as long as the scheduler is drained."""
 
 
 @value
 class ShutHops:
-    """Keep no connection that carries nothing to these addresses, until the next such word."""
+    """Keep no idle connections to these addresses; replaces the addresses of the previous `ShutHops`."""
 
     addresses: frozenset[Address]
 
 
 @value
 class Defect:
-    """Something that must not happen did; it is contained and is to be logged."""
+    """Report an internal error to the log; it was caught and contained."""
 
     where: str
     error: str
@@ -121,25 +121,25 @@
 
 @value
 class WatchFailed:
-    """A call to discovery failed; it is to be logged."""
+    """Log a failed call to discovery."""
 
     word: str
 
 
 @value
 class Untracked:
-    """The table of jobs is full of live ones, so this one's state can not be asked for."""
+    """The job table is full of live jobs, so the status of this one is not tracked."""
 
     name: str
 
 
 @value
 class Keep:
-    """Write these records and delete those of the names, all or nothing; then tell `Kept` or `KeepFailed`.
+    """Atomically write these records and delete those named in `gone`; then report `Kept` or `KeepFailed`.
 
-    A step waits for what is `urgent`: it must be durable when `Kept` is told. What is not may be gathered for
-    a while, in order, and goes with the next urgent one at the latest. With nothing to write, it asks whether
-    anything can be written.
+    A step waits for an `urgent` write: it must be durable when `Kept` is reported. Other writes may be
+    batched in order for a while, and are written with the next urgent one at the latest. A `Keep` with
+    nothing to write tests whether anything can be written.
     """
 
     ticket: int
@@ -150,7 +150,7 @@
 
 @value
 class MayWrite:
-    """Ask the front that handed a job in whether its first byte may leave; `FrontAllows` is its word."""
+    """Ask the front that submitted a job whether its first byte may be written; `FrontAllows` answers."""
 
     front: str
     rid: int
@@ -159,7 +159,7 @@
 
 @value
 class FrontAnswer:
-    """Give the front that handed a job in its final answer; `may_have_run`: no outcome proves it did not."""
+    """Send the front that submitted a job its answer; `may_have_run`: no outcome proves that it did not."""
 
     front: str
     rid: int
@@ -170,7 +170,7 @@
 
 
 class UnitEffect:
-    """Of a unit's own kind: the unit carries it out."""
+    """Base class of units' own effects; the unit performs them."""
 
     __slots__ = ()
 
--- a/flintfield/memory/jobs.py
+++ b/flintfield/memory/jobs.py
@@ -1,6 +1,6 @@
-"""What has become of the jobs that this scheduler took, for those who ask without sending them again.
+"""The status of the jobs that this scheduler accepted, for status queries.
 
-Small records, no bodies. Only the reducer writes here; what is too old is told by the time passed in.
+Records are small and hold no bodies. Only the reducer writes here; expiry uses the time passed in.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True)
 class JobRecord:
-    """One job; `instance` and `share` only where they are known, `outcome` once it has ended.
+    """One job; `instance` and `share` are set only if known, `outcome` once it has ended.
 
-    One of an earlier run of the program that did not end there is `interrupted`.
+    A job that was unfinished when an earlier run of the program ended is `interrupted`.
     """
 
     name: str
@@ -23,28 +23,28 @@
     share: float | None = None
     outcome: str | None = None
     ended: float = 0.0
-    ran: bool = False  # a branch that is over may have run it; while one has it, that is so anyway
+    ran: bool = False  # an ended branch may have run it; a job in state `running` may have run in any case
 
 
 class Jobs:
-    """At most `max_entries` jobs: the live ones, and those ended in the last `keep_ms`, oldest first out."""
+    """At most `max_entries` jobs: live ones and those ended in the last `keep_ms`; evicts the oldest end."""
 
     def __init__(self, keep_ms: float, max_entries: int) -> None:
         self.keep_ms, self.most = keep_ms, max_entries
         self._live: dict[str, JobRecord] = {}
-        self._ended: OrderedDict[str, JobRecord] = OrderedDict()  # in the order of their ends
-        self.evicted: str | None = None  # whom the job that was taken last has driven out
+        self._ended: OrderedDict[str, JobRecord] = OrderedDict()  # in the order in which they ended
+        self.evicted: str | None = None  # the job evicted by the last `take`
 
     @property
     def count(self) -> int:
-        """How many jobs are kept."""
+        """The number of jobs in the table."""
         return len(self._live) + len(self._ended)
 
     def take(self, now: float, name: str, kind: str) -> bool:
-        """Note a new job; False if every entry is live and it goes untracked."""
+        """Add a new job; False if all entries are live and the job is not tracked."""
         self._expire(now)
         self.evicted = None
-        self._ended.pop(name, None)  # the id of an ended job stands for the new one now
+        self._ended.pop(name, None)  # the id now refers to the new job
         if self.count >= self.most:
             if not self._ended:
                 return False
@@ -53,38 +53,38 @@
         return True
 
     def run(self, name: str, instance: str) -> None:
-        """A new branch has the job; what an earlier one had done of it counts no more."""
+        """Mark the job as running at a next hop; the progress of an earlier branch is discarded."""
         if job := self._live.get(name):
             job.state, job.instance, job.share = "running", instance, None
 
     def note(self, name: str, share: float) -> None:
-        """The share that is done."""
+        """Set the share of the job that is done."""
         if job := self._live.get(name):
             job.share = share
 
     def wait(self, name: str) -> None:
-        """The job is at no next hop."""
+        """Mark the job as waiting: no next hop has it."""
         if job := self._live.get(name):
             job.state, job.instance, job.share = "waiting", None, None
 
     def end(self, now: float, name: str, outcome: str) -> None:
-        """The job has its final answer."""
+        """Mark the job as ended: it has its final answer."""
         self._expire(now)
         if job := self._live.pop(name, None):
             job.state, job.outcome, job.ended = "ended", outcome, now
             self._ended[name] = job
 
     def restore(self, job: JobRecord) -> None:
-        """Put in a job of an earlier run, before any other; the caller goes by the order of `ended`."""
+        """Add a job of an earlier run. Called before any other method, in ascending order of `ended`."""
         self._ended[job.name] = job
 
-    def doubt(self, name: str) -> None:
-        """A branch that is over may have run it."""
+    def mark_possibly_run(self, name: str) -> None:
+        """Note that an ended branch may have run the job."""
         if job := self._live.get(name):
             job.ran = True
 
     def find(self, now: float, name: str) -> JobRecord | None:
-        """The job, unless it is not known here or ended too long ago."""
+        """The job; None if it is unknown or ended longer than `keep_ms` ago."""
         if job := self._live.get(name):
             return job
         job = self._ended.get(name)
--- a/flintfield/memory/keeping.py
+++ b/flintfield/memory/keeping.py
@@ -1,4 +1,4 @@
-"""Steps that wait for a disk, or for the word of the front that handed a job in."""
+"""Steps that wait for a record on disk, or for permission of the front that submitted a job."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from flintfield.decision.interface import Outcome
 from flintfield.memory.branching import Branching
-from flintfield.memory.ledger import AnswerWaits, BranchWaits, Waits
+from flintfield.memory.ledger import PendingAnswer, PendingBranch, PendingStep
 from flintfield.memory.messages import (
     BranchUp, FrontAllows, HoldBranch, KeepFailed, Kept, MayWrite, Route, TryKeep,
 )
-from flintfield.memory.state import KeepDue, Transaction
+from flintfield.memory.state import RecordTimer, Transaction
 
 
 class Keeping(Branching):
-    """The ledger's tickets as they come back; memory/ledger.py has the rules."""
+    """Handles completed tickets of the ledger; memory/ledger.py has the rules."""
 
     def branch_up(self, message: BranchUp) -> None:
-        if (found := self._out(message.rid, message.branch)) is None:
+        if (found := self._open_branch(message.rid, message.branch)) is None:
             return
         transaction, branch = found
         if branch.held:
@@ -28,86 +28,86 @@
             self.effects += [HoldBranch(transaction.rid, message.branch),
                              MayWrite(transaction.submission.front, transaction.rid, message.branch)]
         else:
-            self._let_out_recorded(transaction, message.branch, route)
+            self._write_request_recorded(transaction, message.branch, route)
 
-    def _let_out_recorded(self, transaction: Transaction, number: int, route: Route | None) -> None:
-        """Let a branch out, once that is on disk where it has to be."""
+    def _write_request_recorded(self, transaction: Transaction, number: int, route: Route | None) -> None:
+        """Write a branch's request, after its record is on disk if its job is guarded."""
         ledger = self.state.ledger
         if route and ledger and transaction.submission.class_name in ledger.guarded:
-            self._hold(transaction, number, route.name)
+            self._hold_for_record(transaction, number, route.name)
         else:
-            self._let_out(transaction, number)
+            self._write_request(transaction, number)
 
     def front_allows(self, message: FrontAllows) -> None:
-        """The front that handed the job in has noted that it is let out, or can not."""
-        if (found := self._out(message.rid, message.branch)) is None or found[1].written:
+        """The front that submitted the job has recorded that it is sent, or could not."""
+        if (found := self._open_branch(message.rid, message.branch)) is None or found[1].written:
             return
         if message.allowed:
-            self._let_out_recorded(found[0], message.branch, self._ready_route(*found))
+            self._write_request_recorded(found[0], message.branch, self._ready_route(*found))
             return
-        self._refuse_unkept(message.rid)
-        self._drop(found[0], message.branch, Outcome.MOOT)
+        self._refuse_unrecorded(message.rid)
+        self._drop_branch(found[0], message.branch, Outcome.MOOT)
 
-    def _hold(self, transaction: Transaction, number: int, route: str) -> None:
-        """Have it on disk that the branch is let out, before it is."""
+    def _hold_for_record(self, transaction: Transaction, number: int, route: str) -> None:
+        """Write the record that the branch is sent, and hold the branch until that is durable."""
         ledger = self.state.ledger
         assert ledger is not None
-        name, waits = transaction.submission.name, BranchWaits(transaction.rid, number)
-        keeps = ledger.keep(name, self._record(name), waits=waits, out_to=route)
+        name, pending = transaction.submission.name, PendingBranch(transaction.rid, number)
+        keeps = ledger.keep(name, self._record(name), pending=pending, next_hop=route)
         if not keeps:
-            self._go_on_unkept(waits)
+            self._continue_unrecorded(pending)
             return
         if not transaction.branches[number].held:
             transaction.branches[number].held = True
             self.effects.append(HoldBranch(transaction.rid, number))
-        self._await(keeps, ledger.wait_ms)
+        self._wait_for_records(keeps, ledger.wait_ms)
 
     def kept(self, message: Kept) -> None:
         ledger = self.state.ledger
-        self._no_cut(message.tickets)
-        for waits in ledger.kept(message.tickets) if ledger else ():
-            if isinstance(waits, AnswerWaits):
-                self._give(waits.rid, waits.verdict, waits.body)
-            elif transaction := self._held(waits):
-                self._let_out(transaction, waits.branch)
+        self._cancel_record_timers(message.tickets)
+        for pending in ledger.kept(message.tickets) if ledger else ():
+            if isinstance(pending, PendingAnswer):
+                self._send_answer(pending.rid, pending.verdict, pending.body)
+            elif transaction := self._open_transaction(pending):
+                self._write_request(transaction, pending.branch)
         if ledger:
             self.effects += ledger.catch_up(self._record)
 
     def keep_failed(self, message: KeepFailed) -> None:
         if ledger := self.state.ledger:
-            self._no_cut(message.tickets)
+            self._cancel_record_timers(message.tickets)
             self.state.counters["store.failed"] += 1
-            for waits in ledger.failed(message.tickets):
-                self._go_on_unkept(waits)
+            for pending in ledger.failed(message.tickets):
+                self._continue_unrecorded(pending)
 
-    def _no_cut(self, tickets: Iterable[int]) -> None:
+    def _cancel_record_timers(self, tickets: Iterable[int]) -> None:
         for ticket in tickets:
-            self.state.timers.cancel(KeepDue(ticket))
+            self.state.timers.cancel(RecordTimer(ticket))
 
-    def _cut(self, ticket: int) -> None:
-        """Guards against a disk that stalls: no step waits for it longer than it may."""
-        if self.state.ledger and (waits := self.state.ledger.cut(ticket)):
+    def _record_timed_out(self, ticket: int) -> None:
+        """Continue without the record when its wait times out, so that a stalled disk blocks no step."""
+        if self.state.ledger and (pending := self.state.ledger.time_out_wait(ticket)):
             self.state.counters["store.waits_cut"] += 1
-            self._go_on_unkept(waits)
+            self._continue_unrecorded(pending)
 
-    def _held(self, waits: BranchWaits) -> Transaction | None:
-        """Whose branch it is, if it is still out."""
-        transaction = self.state.transactions.get(waits.rid)
-        return transaction if transaction and not transaction.branches[waits.branch].ended else None
+    def _open_transaction(self, pending: PendingBranch) -> Transaction | None:
+        """The transaction of the branch, if the branch has not ended."""
+        transaction = self.state.transactions.get(pending.rid)
+        return transaction if transaction and not transaction.branches[pending.branch].ended else None
 
-    def _go_on_unkept(self, waits: Waits) -> None:
-        """A step that waited for its record, or would have, without one."""
+    def _continue_unrecorded(self, pending: PendingStep) -> None:
+        """Continue a step whose record could not be written in time."""
         ledger = self.state.ledger
-        if isinstance(waits, AnswerWaits):
+        if isinstance(pending, PendingAnswer):
             self.state.counters["store.ends_unkept"] += 1
-            self._give(waits.rid, waits.verdict, waits.body)
-        elif ledger and (transaction := self._held(waits)):
+            self._send_answer(pending.rid, pending.verdict, pending.body)
+        elif ledger and (transaction := self._open_transaction(pending)):
             if not ledger.promise:
                 self.state.counters["store.branches_unkept"] += 1
-                self._let_out(transaction, waits.branch)
+                self._write_request(transaction, pending.branch)
                 return
-            self._refuse_unkept(waits.rid)
-            self._drop(transaction, waits.branch, Outcome.MOOT)
+            self._refuse_unrecorded(pending.rid)
+            self._drop_branch(transaction, pending.branch, Outcome.MOOT)
 
     def try_keep(self, _: TryKeep) -> None:
         if self.state.ledger:
--- a/flintfield/memory/ledger.py
+++ b/flintfield/memory/ledger.py
@@ -1,29 +1,28 @@
-"""What lasts of the jobs beyond the program, and which of its steps wait until that is on disk.
+"""Job records that outlive the process, and the steps that wait until a record is on disk.
 
 Rules:
 
-1. No I/O. What is to be written is an effect (`Keep`) with a ticket; its completion is a message (`Kept`,
-   `KeepFailed`) with the same ticket. All tickets come back, in the order they were given, many at once.
-2. A *guarded* job is of a class that may not be sent again. Two of its steps wait: the first byte of a branch
-   waits for the record that says to which next hop it is let out, and the answer `served` waits for the
-   record of its end. Nothing else waits for a disk.
-3. No wait is longer than `wait_ms`. When one is cut short, or a write fails, the ledger is *down* until a
-   write has come back well: no step waits any more, and nothing is written but a probe that asks whether it
-   may be.
-4. What is not written while it is down is remembered by the job's name, for no more names than the table of
-   jobs has, and written then as it stands. Every record has a time to live, so one that was missed goes by
-   itself.
-
-Theory of operation. This is the write-ahead rule: the record that an effect may happen is durable before the
-effect leaves the process (for pages of a database: Mohan et al., ARIES, 1992). The record of a branch is
-taken back when it proves never to have run, without waiting: until that is on disk the job counts as one that
-may have run, which is on the safe side.
-
-What a record promises. `sure` says that its job would never be let out without a record of that. Then
-`ran = false` on disk means that no next hop ever saw a byte of the job. It holds for guarded jobs if
-`promise` is on, for then a job whose record can not be written is refused. Without `promise` it is let out
-all the same, and nothing is sure. Rejected: to let jobs out unrecorded while the disk fails and to call the
-records sure as long as it was well; a program that is killed just then can tell nobody which it was.
+1. No I/O. A write is an effect (`Keep`) with a ticket; its completion is a message (`Kept`, `KeepFailed`)
+   with the same ticket. All tickets complete, in the order in which they were issued, many at once.
+2. A *guarded* job belongs to a class that must not be sent again. Two of its steps wait: the first byte of a
+   branch waits for the record of the next hop that it is sent to, and the answer `served` waits for the
+   record of the job's end. Nothing else waits for a disk.
+3. No wait is longer than `wait_ms`. When a wait times out or a write fails, the ledger is *down* until a
+   write succeeds: no step waits, and nothing is written but a probe that tests whether writes succeed.
+4. Writes skipped while it is down are remembered by job name, for at most as many names as the job table
+   holds, and the then current records are written once it is up. Every record has a time to live, so a
+   record whose deletion was missed expires.
+
+Theory of operation. This is write-ahead logging: the record that an effect may happen is durable before the
+effect leaves the process (for pages of a database: Mohan et al., ARIES, 1992). When a branch proves never to
+have run, its record is reverted without waiting: until that is on disk the job counts as one that may have
+run, which is safe.
+
+Guarantees of a record. `sure` means that its job is never sent without a record of that. Then `ran = false`
+on disk means that no next hop received a byte of the job. This holds for guarded jobs if `promise` is on,
+because a job whose record can't be written is then refused. Without `promise` the job is sent regardless, and
+no record is sure. Rejected alternative: send jobs unrecorded while the disk fails, and treat records as sure
+while it works; after a kill at that moment nothing shows which of the two applied.
 """
 
 from __future__ import annotations
@@ -35,38 +34,38 @@
 from flintfield.memory.jobs import JobRecord
 from flintfield.memory.messages import Keep, Lasting, Verdict
 
-MOST_OUT = 4_096  # tickets that are out: beyond that the disk counts as stalled
-RESYNC = 256  # records written at once after it was down
+MAX_PENDING_TICKETS = 4_096  # pending tickets; with this many the disk counts as stalled
+CATCH_UP_BATCH = 256  # records per write when catching up after the ledger was down
 
 
 @dataclass(frozen=True, slots=True)
-class BranchWaits:
-    """A branch that is to be written on its connection."""
+class PendingBranch:
+    """A branch whose request is written once its record is durable."""
 
     rid: int
     branch: int
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerWaits:
-    """A final answer that is to be given."""
+class PendingAnswer:
+    """A final answer that is sent once the job's record is durable."""
 
     rid: int
     verdict: Verdict
     body: bytes
 
 
-Waits = BranchWaits | AnswerWaits
+PendingStep = PendingBranch | PendingAnswer
 
 
 @dataclass(slots=True)
 class _Ticket:
     names: tuple[str, ...]
-    waits: Waits | None
+    pending: PendingStep | None
 
 
 class Ledger:
-    """The tickets that are out, and what was missed; only the reducer calls it."""
+    """Pending tickets and missed writes; only the reducer calls it."""
 
     def __init__(self, guarded: frozenset[str], keep_ms: float, wait_ms: float, promise: bool,
                  most_missed: int) -> None:
@@ -75,87 +74,87 @@
         self._most_missed = most_missed
         self.up = True
         self._keep_ms = keep_ms
-        self._last = 0
-        self._out: dict[int, _Ticket] = {}
-        self._missed: dict[str, None] = {}  # names whose record on disk is not what it should be
+        self._last_ticket = 0
+        self._pending: dict[int, _Ticket] = {}
+        self._missed: dict[str, None] = {}  # names of jobs whose record on disk is out of date
 
     def refuses(self, kind: str, tracked: bool) -> bool:
-        """Whether a job of that class must not be taken now, for no record of it could be written."""
+        """Whether a job of that class must be refused now because no record of it could be written."""
         return self.promise and kind in self.guarded and not (self.up and tracked)
 
-    def forbids(self, kind: str, known: JobRecord | None) -> bool:
-        """Whether a job must not be sent, for an earlier run of the program may have had its id run."""
+    def forbids_rerun(self, kind: str, known: JobRecord | None) -> bool:
+        """Whether a job must not be sent because its id may have run during an earlier run of the program."""
         if known is None or known.state != "interrupted" or not known.ran:
             return False
         return kind in self.guarded or known.kind in self.guarded
 
-    def keep(self, name: str, record: Lasting | None, *, waits: Waits | None = None,
-             out_to: str | None = None) -> list[Keep]:
-        """Write a job's record as it stands, or as let out to that next hop; none if the ledger is down.
-        Without a record what is on disk goes."""
-        if record and out_to is not None:
-            record = replace(record, state="running", instance=out_to, ran=True)
+    def keep(self, name: str, record: Lasting | None, *, pending: PendingStep | None = None,
+             next_hop: str | None = None) -> list[Keep]:
+        """Write a job's current record, or one that says it is sent to a next hop; nothing if the ledger is
+        down. If `record` is None the record on disk is deleted."""
+        if record and next_hop is not None:
+            record = replace(record, state="running", instance=next_hop, ran=True)
         records, gone = ((record,), ()) if record else ((), (name,))
-        return self._write((name,), records, gone, waits)
+        return self._write((name,), records, gone, pending)
 
     def _write(self, names: tuple[str, ...], records: tuple[Lasting, ...], gone: tuple[str, ...],
-               waits: Waits | None) -> list[Keep]:
-        self.up = self.up and len(self._out) < MOST_OUT
+               pending: PendingStep | None) -> list[Keep]:
+        self.up = self.up and len(self._pending) < MAX_PENDING_TICKETS
         if not self.up:
-            self._miss(names)
+            self._mark_missed(names)
             return []
-        self._last += 1
-        self._out[self._last] = _Ticket(names, waits)
-        return [Keep(self._last, records, gone, waits is not None)]
+        self._last_ticket += 1
+        self._pending[self._last_ticket] = _Ticket(names, pending)
+        return [Keep(self._last_ticket, records, gone, pending is not None)]
 
-    def _miss(self, names: tuple[str, ...]) -> None:
+    def _mark_missed(self, names: tuple[str, ...]) -> None:
         self._missed.update(dict.fromkeys(names))
-        while len(self._missed) > self._most_missed:  # the oldest: it is the likeliest to have left the table
+        while len(self._missed) > self._most_missed:  # the oldest is the likeliest to have left the table
             del self._missed[next(iter(self._missed))]
 
     def record(self, job: JobRecord, class_name: str | None, left_ms: float) -> Lasting:
-        """What is to last of a job: the class of its open transaction, if there is one, and what is left of
-        that one's time."""
+        """The record of a job, given the class of its open transaction, if there is one, and the time that
+        transaction has left."""
         sure = self.promise and class_name in self.guarded
         return Lasting(job.name, job.kind, job.state, job.instance, job.outcome,
                        job.ran or job.state == "running", sure, max(0.0, left_ms) + self._keep_ms)
 
-    # ------------------------------------------------------ what comes back
+    # ---------------------------------------------------------- completions
 
-    def kept(self, tickets: Iterable[int]) -> list[Waits]:
-        """Tickets came back well: what waited for them. `catch_up` is to be asked then."""
+    def kept(self, tickets: Iterable[int]) -> list[PendingStep]:
+        """Complete successful tickets and return the steps that waited; the caller calls `catch_up` next."""
         self.up = True
-        back = [found for ticket in tickets if (found := self._out.pop(ticket, None))]
-        return [found.waits for found in back if found.waits]
+        back = [found for ticket in tickets if (found := self._pending.pop(ticket, None))]
+        return [found.pending for found in back if found.pending]
 
-    def failed(self, tickets: Iterable[int]) -> list[Waits]:
-        """Tickets came back in vain: what waited for them."""
+    def failed(self, tickets: Iterable[int]) -> list[PendingStep]:
+        """Complete failed tickets and return the steps that waited for them."""
         self.up = False
-        back = [found for ticket in tickets if (found := self._out.pop(ticket, None))]
+        back = [found for ticket in tickets if (found := self._pending.pop(ticket, None))]
         for found in back:
-            self._miss(found.names)
-        return [found.waits for found in back if found.waits]
+            self._mark_missed(found.names)
+        return [found.pending for found in back if found.pending]
 
-    def cut(self, ticket: int) -> Waits | None:
-        """What has waited long enough for a ticket that is still out."""
-        found = self._out.get(ticket)
-        if found is None or found.waits is None:
+    def time_out_wait(self, ticket: int) -> PendingStep | None:
+        """Time out the wait for a pending ticket and return the step that waited, if any."""
+        found = self._pending.get(ticket)
+        if found is None or found.pending is None:
             return None
         self.up = False
-        waits, found.waits = found.waits, None
-        return waits
+        pending, found.pending = found.pending, None
+        return pending
 
     def probe(self) -> list[Keep]:
-        """Ask whether it is up again, if nothing that is out will tell."""
-        if self.up or self._out:
+        """Test whether writes succeed again, unless a pending ticket will show it."""
+        if self.up or self._pending:
             return []
-        self._last += 1
-        self._out[self._last] = _Ticket((), None)
-        return [Keep(self._last, (), (), True)]
+        self._last_ticket += 1
+        self._pending[self._last_ticket] = _Ticket((), None)
+        return [Keep(self._last_ticket, (), (), True)]
 
     def catch_up(self, record_of: Callable[[str], Lasting | None]) -> list[Keep]:
-        """Write some of what was missed; the next ticket that comes back calls for more."""
-        names = tuple(islice(self._missed, RESYNC))
+        """Write a batch of missed records; each completed ticket triggers the next batch."""
+        names = tuple(islice(self._missed, CATCH_UP_BATCH))
         if not names:
             return []
         for name in names:
@@ -165,5 +164,5 @@
         return self._write(names, records, tuple(n for n in names if n not in there), None)
 
     def forget(self, name: str) -> list[Keep]:
-        """A job left the table: its record goes too."""
+        """Delete the record of a job that left the table."""
         return self._write((name,), (), (name,), None)
--- a/flintfield/memory/listing.py
+++ b/flintfield/memory/listing.py
@@ -10,12 +10,12 @@
 )
 from flintfield.memory.taking import Taking
 
-SILENCE_MS = 6_000.0  # what a silent watch hides counts as told so long after it fell silent, at the earliest
-MOVED_MS = 4_000.0  # the same after a new configuration moved discovery (the operators' later days)
+SILENCE_MS = 6_000.0  # from a silent call to when changes that it missed take effect, at the earliest
+MOVED_MS = 4_000.0  # the same after a configuration change moved discovery (the operators' later days)
 
 
 class Listing(Taking):
-    """The route set as discovery tells it; when it is asked is decided in decision/asking.py."""
+    """Maintains the route set from discovery's answers; decision/asking.py decides when to call."""
 
     def watch(self, _: Watch) -> None:
         if not self.state.watching:
@@ -25,10 +25,10 @@
     def route_news(self, message: RouteNews) -> None:
         state = self.state
         cached = message.mode is ListMode.CACHED
-        if not cached and self._is_late(message.call):
+        if not cached and self._is_outdated(message.call):
             return
         if message.mode is ListMode.DELTA and message.generation < (state.generation or 0):
-            # Guards against a discovery that started anew while we kept our count: it tells of another.
+            # Discovery restarted, so its generations are not comparable with ours: request the whole list.
             state.counters["discovery.counts_anew"] += 1
             state.generation = None
             self._call_discovery()
@@ -41,7 +41,7 @@
             else:
                 state.routes[route.entry.worker] = route
         if state.barred:
-            self.shut_barred()
+            self.close_barred_connections()
         for worker in state.last_errors.keys() - state.routes.keys():
             del state.last_errors[worker]
         state.generation = message.generation
@@ -49,48 +49,48 @@
             state.due, state.told = None, True
             state.counters["discovery.lines"] += len(message.routes)
             state.counters[f"discovery.answers.{message.mode.value if message.routes else 'empty'}"] += 1
-            self._call_discovery()  # at once: a watch that pauses for 200 ms is a new one
+            self._call_discovery()  # immediately: after a pause of 200 ms it would count as a new watch
         self._events.append(ServerList(message.mode, tuple(r.entry for r in message.routes)))
 
-    def shut_barred(self) -> None:
-        """Guards next hops that are out by hand against connections of ours that would wait there."""
+    def close_barred_connections(self) -> None:
+        """Close our idle connections to excluded next hops."""
         state = self.state
         self.effects.append(ShutHops(frozenset(
             r.address for worker, r in state.routes.items() if worker in state.barred)))
 
     def route_call_failed(self, message: RouteCallFailed) -> None:
-        if self._is_late(message.call):
+        if self._is_outdated(message.call):
             return
         state = self.state
         state.watching = False
         if message.silent:
-            # It fell silent after the call at the earliest, so this is the earliest that its news count.
+            # Discovery fell silent after the call at the earliest, so its changes take effect no earlier.
             state.due = min(state.due or math.inf, state.called_at + SILENCE_MS)
             state.counters["discovery.silent"] += 1
         elif not message.busy:
-            # Guards against a discovery that starts anew and counts from nothing: it has nothing newer
-            # than ours. One that says it is busy, or whose way is cut, is the old one, and the whole list
-            # is the most to ask.
+            # A restarted discovery counts from zero and would report nothing newer than our generation, so
+            # the whole list is requested. One that is busy or unreachable has not restarted; there the
+            # whole list is at worst more than needed.
             state.generation = None
         self.effects.append(WatchFailed(message.word))
         state.counters["discovery.failed"] += 1
         self._events.append(ServerList(ListMode.FAILED, due=state.due))
 
     def discovery_moved(self, message: DiscoveryMoved) -> None:
-        """Leave the old address and ask at the new one at once, for the whole list."""
+        """Drop the old address and call the new one at once for the whole list."""
         state = self.state
         if message.address == state.discovery:
             return
         state.counters["discovery.moved"] += 1
         self.effects.append(LeaveDiscovery(state.discovery))
         state.discovery, state.generation, state.watching = message.address, None, True
-        # A clock that is over presses for nothing: it must not stand before the new address's own.
+        # A due time that has passed is ignored: it must not precede the one of the new address.
         pending = state.due if state.due is not None and state.due > self.now else math.inf
         state.due = min(pending, self.now + MOVED_MS)
         self._call_discovery()
 
-    def _is_late(self, call: int) -> bool:
-        """Guards against the answer of an address that we have left."""
+    def _is_outdated(self, call: int) -> bool:
+        """Whether a message belongs to an earlier call, such as one to a previous address."""
         if call == self.state.calls:
             return False
         self.state.counters["discovery.late_word"] += 1
@@ -101,7 +101,7 @@
         state.calls += 1
         state.called_at = self.now
         state.counters["discovery.calls"] += 1
-        # Guards against a second silence: a call that need not wait is known to be silent sooner. And against
-        # a new process that waits for news where there are none before it trusts its list.
+        # After a silent call the next one does not wait for changes, so that another silence is detected
+        # sooner. A new process does not wait either, since it trusts its list only after the first answer.
         waits = state.told and state.due is None
         self.effects.append(CallDiscovery(state.calls, state.discovery, state.generation, waits))
--- a/flintfield/memory/messages.py
+++ b/flintfield/memory/messages.py
@@ -1,6 +1,6 @@
-"""What the reducer is told (messages) and what it asks for (effects): plain values, no I/O.
+"""Inputs (messages) and outputs (effects) of the reducer: plain values, no I/O.
 
-A transaction is named by `rid`, one of its branches by `(rid, branch)`. Times are Unix milliseconds.
+A transaction is identified by `rid`, one of its branches by `(rid, branch)`. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @value
 class RouteNews:
-    """Discovery's word: the changes since our version, or the whole list; `call` is the call it answers."""
+    """An answer of discovery: changes since our version, or the whole list; `call` is the call it answers."""
 
     mode: ListMode
     generation: int
@@ -38,9 +38,9 @@
 
 @value
 class RouteCallFailed:
-    """A watch failed, timed out or told nonsense.
+    """A watch failed, timed out or returned an invalid answer.
 
-    `busy`: discovery itself said that it can't answer now. `silent`: it said nothing in its time.
+    `busy`: discovery reported that it can't answer now. `silent`: it did not answer before the timeout.
     """
 
     word: str
@@ -51,14 +51,14 @@
 
 @value
 class DiscoveryMoved:
-    """A new configuration names the address of discovery."""
+    """A new configuration sets the address of discovery."""
 
     address: Address
 
 
 @value
 class Submitted:
-    """A caller's request has wholly come in; `rid` was given by the caller leg."""
+    """A caller's request was received completely; the caller connection assigned `rid`."""
 
     rid: int
     submission: Submission
@@ -73,7 +73,7 @@
 
 @value
 class BranchUp:
-    """A branch has its connection; nothing is written before `WriteBranch`."""
+    """A branch is connected; nothing is written before `WriteBranch`."""
 
     rid: int
     branch: int
@@ -81,7 +81,7 @@
 
 @value
 class BranchNoted:
-    """A next hop tells that the job started, or the share that is done."""
+    """A next hop reports that the job started, or which share of it is done."""
 
     rid: int
     branch: int
@@ -91,7 +91,7 @@
 
 @value
 class BranchEnded:
-    """A branch came to its end on the wire."""
+    """The exchange of a branch with its next hop has ended."""
 
     rid: int
     branch: int
@@ -100,7 +100,7 @@
 
 @value
 class ProbeEnded:
-    """A probe came to its end."""
+    """A probe has ended."""
 
     worker: WorkerId
     ending: Ending
@@ -109,38 +109,38 @@
 
 @value
 class Woke:
-    """The clock reached the first timer."""
+    """The first timer is due."""
 
 
 @value
 class StopAsked:
-    """The program was told to end; what is taken from now on must have its answer by then."""
+    """The program was asked to stop; requests received from now on are answered by `settle_by`."""
 
     settle_by: float
 
 
 @value
 class Kept:
-    """What these tickets asked for is as durable as it was to be."""
+    """The writes of these tickets are as durable as requested."""
 
     tickets: tuple[int, ...]
 
 
 @value
 class KeepFailed:
-    """It is not, and will not be; what is there of it is not known."""
+    """The writes of these tickets failed; which of them reached the disk is unknown."""
 
     tickets: tuple[int, ...]
 
 
 @value
 class TryKeep:
-    """It is time to ask whether records can be written again, if they could not."""
+    """Check whether records can be written again, if writing had failed."""
 
 
 @value
 class FrontAllows:
-    """A front's word on `MayWrite`: whether the branch's first byte may leave."""
+    """A front's answer to `MayWrite`: whether the branch's first byte may be written."""
 
     rid: int
     branch: int
@@ -148,7 +148,7 @@
 
 
 class UnitMessage:
-    """Of a unit's own kind: the handler that the unit hung on the state takes it in."""
+    """Base class of units' own messages; the handler that the unit registered on the state handles them."""
 
     __slots__ = ()
 
--- a/flintfield/memory/orders.py
+++ b/flintfield/memory/orders.py
@@ -1,19 +1,20 @@
-"""What operators have ordered by hand: worker nodes out, and the scheduler out of service.
+"""Operators' manual orders: worker nodes taken offline, and the scheduler taken out of service.
 
 Rules:
 
-1. An order is the last word on its subject. It stands apart from the route set: it outlives a worker node
-   that leaves the list and is named again, and the list says nothing of it.
-2. Whoever holds two books merges them subject by subject, the later word first. In whatever order words come,
-   and however often, all who have heard the same ones hold the same book.
-3. Here nothing is routed. The reducer looks at `State.barred` before a first byte, and the decision module is
-   told who is out.
+1. The latest order on a subject applies. Orders are independent of the route set: an order persists when a
+   worker node leaves the list and is listed again.
+2. Two books are merged subject by subject; the later word wins. Processes that have received the same words
+   hold the same book, whatever the order and number of deliveries.
+3. This module does no routing. The reducer checks `State.barred` before a first byte, and the decision module
+   is informed of the excluded nodes.
 
 Theory of operation. A book is a map of last-writer-wins registers (Shapiro, Preguiça, Baquero, Zawirski 2011,
-"A comprehensive study of convergent and commutative replicated data types", 3.2.1). A stamp is the Unix time
-of the order in ms, and later than any stamp that its giver knew for that subject, so a clock that steps back
-loses no order. Equal stamps: out wins, for what is out harms nobody. Words that let a worker node back are
-kept for `KEPT_MS`: it counts as cold from that moment, and an older word must not come back over them.
+"A comprehensive study of convergent and commutative replicated data types", 3.2.1). A timestamp is the Unix
+time of the order in ms, and later than any timestamp that its issuer knew for that subject, so that no order
+is lost when a clock steps back. On equal timestamps `out` wins, since an excluded node does no harm. Words
+that readmit a worker node are kept for `RETENTION_MS`: the node counts as cold from that time, and an older
+word must not override them.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
 if TYPE_CHECKING:
     from flintfield.memory.reducer import Turn
 
-SCHEDULER = ""  # the subject of orders on the scheduler itself; no worker node is called so
-KEPT_MS = 600_000.0  # far longer than two processes overlap, or a worker node warms
-MOST = 4_096  # words in a book: guards against a list of ever new names, each taken out
-FORM = 1  # of a book that is written out
+SCHEDULER = ""  # the subject of orders on the scheduler itself; no worker node has this name
+RETENTION_MS = 600_000.0  # far longer than the overlap of two processes, or the warm-up of a worker node
+MOST = 4_096  # words in a book; bounds it if new names keep being listed and taken offline
+FORMAT_VERSION = 1  # format version of a serialized book
 
 
 @value
 class Word:
-    """The last word on a subject: when it was given (Unix ms), and whether it is out."""
+    """The latest order on a subject: its timestamp (Unix ms), and whether the subject is out."""
 
     at: float
     out: bool
@@ -47,7 +48,7 @@
 
 
 def merge(book: Book, other: Mapping[str, Word]) -> list[str]:
-    """Take the later words of another book into this one; the subjects on which there is news."""
+    """Merge the later words of another book into this one; return the subjects that changed."""
     changed = []
     for subject, word in other.items():
         own = book.get(subject)
@@ -59,35 +60,35 @@
 
 
 def plain_words(words: Mapping[str, Word]) -> dict[str, list[Any]]:
-    """Words as `read_words` reads them."""
+    """Words as plain values, in the form that `read_words` accepts."""
     return {subject: [word.at, word.out] for subject, word in words.items()}
 
 
 def prune(book: Book, now: float) -> None:
-    """Forget words that let somebody back long ago."""
-    for subject in [s for s, w in book.items() if not w.out and w.at < now - KEPT_MS]:
+    """Drop words that readmitted their subject more than `RETENTION_MS` ago."""
+    for subject in [s for s, w in book.items() if not w.out and w.at < now - RETENTION_MS]:
         del book[subject]
 
 
 def write_book(book: Mapping[str, Word]) -> bytes:
-    """A book as one line of JSON."""
-    told = {"form": FORM, "orders": plain_words(book)}
+    """Serialize a book as one line of JSON."""
+    told = {"form": FORMAT_VERSION, "orders": plain_words(book)}
     return json.dumps(told, separators=(",", ":")).encode() + b"\n"
 
 
 def read_book(text: bytes | str) -> Book:
-    """What `write_book` wrote; a ValueError tells what is wrong with it."""
+    """Parse the output of `write_book`; raises a ValueError that describes what is wrong."""
     try:
         told = json.loads(text)
-        if told["form"] != FORM:
-            raise ValueError(f"form {told['form']!r}, expected {FORM}")
+        if told["form"] != FORMAT_VERSION:
+            raise ValueError(f"form {told['form']!r}, expected {FORMAT_VERSION}")
         return read_words(told["orders"])
     except (KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise ValueError(f"no book of orders: {error!r}") from error
+        raise ValueError(f"not a valid book of orders: {error!r}") from error
 
 
 def read_words(raw: Any) -> Book:
-    """Words by subject, each `[at, out]`; errors as of `read_book`."""
+    """Parse words by subject, each `[at, out]`; raises the errors of `read_book`."""
     book = {}
     for subject, (at, out) in raw.items():
         if not isinstance(out, bool) or isinstance(at, bool) or not 0 <= at < 1e15:
@@ -103,7 +104,7 @@
 
 @value
 class OrderAsked(UnitMessage):
-    """Somebody asks for an order; `ticket` names the call to be answered."""
+    """A request for an order; `ticket` identifies the call to answer."""
 
     ticket: int
     subject: str
@@ -112,14 +113,14 @@
 
 @value
 class OrdersHeard(UnitMessage):
-    """Words of another process of this scheduler, or of its file."""
+    """Words received from another process of this scheduler, or read from its file."""
 
     words: Mapping[str, Word]
 
 
 @value
 class OrderTaken(UnitEffect):
-    """The order is in force: have it kept, then say yes; `changed` False: it stood so before."""
+    """The order is in force: persist it, then confirm; `changed` is False if it was in force before."""
 
     ticket: int
     changed: bool
@@ -127,7 +128,7 @@
 
 @value
 class OrderRefused(UnitEffect):
-    """The order is not taken: an HTTP status, and why."""
+    """The order is refused, with an HTTP status and the reason."""
 
     ticket: int
     status: int
@@ -136,22 +137,22 @@
 
 @value
 class OrdersChanged(UnitEffect):
-    """These words are new in the book: they are to be kept and told on."""
+    """These words of the book are new: persist them and pass them on."""
 
     words: Mapping[str, Word]
 
 
 class Orders:
-    """The reducer's handlers; the book is theirs alone."""
+    """The reducer's handlers; only they access the book."""
 
     def __init__(self) -> None:
         self.book: Book = {}
 
     def asked(self, turn: Turn, message: OrderAsked) -> None:
-        """An order on a worker node that is listed, or was taken out before, or on the scheduler."""
+        """Apply an order on the scheduler, or on a worker node that is listed or was taken offline before."""
         subject, book = message.subject, self.book
         own = book.get(subject)
-        is_out = own is not None and own.out  # it may have left the list since, and is let back all the same
+        is_out = own is not None and own.out  # may have left the list; can be readmitted all the same
         if not (subject == SCHEDULER or is_out or worker_of(subject) in turn.state.routes):
             turn.effects.append(OrderRefused(message.ticket, 404, "no worker node of this id is listed"))
             return
@@ -159,16 +160,16 @@
             turn.effects.append(OrderTaken(message.ticket, False))
             return
         if own is None and len(book) >= MOST:
-            turn.effects.append(OrderRefused(message.ticket, 507, f"{MOST} orders stand already"))
+            turn.effects.append(OrderRefused(message.ticket, 507, f"{MOST} orders are in force already"))
             return
-        self._take(turn, {subject: Word(max(turn.now, own.at + 1.0 if own else 0.0), message.out)})
+        self._merge_words(turn, {subject: Word(max(turn.now, own.at + 1.0 if own else 0.0), message.out)})
         turn.effects.append(OrderTaken(message.ticket, True))
 
     def heard(self, turn: Turn, message: OrdersHeard) -> None:
-        """Words from elsewhere."""
-        self._take(turn, message.words)
+        """Merge words from another source."""
+        self._merge_words(turn, message.words)
 
-    def _take(self, turn: Turn, words: Mapping[str, Word]) -> None:
+    def _merge_words(self, turn: Turn, words: Mapping[str, Word]) -> None:
         changed = merge(self.book, words)
         prune(self.book, turn.now)
         if not changed:
@@ -180,19 +181,19 @@
             if turn.state.drained:
                 turn.effects.append(SendAway())
         if names := [s for s in changed if s != SCHEDULER]:
-            self._bar(turn, names)
+            self._apply_node_orders(turn, names)
 
-    def _bar(self, turn: Turn, names: list[str]) -> None:
-        """Have all who look know who is out."""
+    def _apply_node_orders(self, turn: Turn, names: list[str]) -> None:
+        """Apply changed orders on worker nodes to the state and inform the decision module."""
         state = turn.state
         for name in names:
             state.counters["orders.offline" if self.book[name].out else "orders.online"] += 1
         state.orders.by_hand = frozenset(worker_of(s) for s, w in self.book.items() if s and w.out)
         self.stand(turn)
-        turn.shut_barred()
+        turn.close_barred_connections()
 
     def stand(self, turn: Turn) -> None:
-        """Have the decision module told who is out, and whose the cold budgets are."""
+        """Inform the decision module of excluded nodes and of which process owns the cold budgets."""
         orders = turn.state.orders
-        orders.hand_back = tuple((worker_of(s), w.at) for s, w in self.book.items() if s and not w.out)
+        orders.manual_returns = tuple((worker_of(s), w.at) for s, w in self.book.items() if s and not w.out)
         stand(turn)
--- a/flintfield/memory/planned.py
+++ b/flintfield/memory/planned.py
@@ -1,4 +1,4 @@
-"""Next hops that are out by plan: the message, and what it changes."""
+"""Next hops excluded by the maintenance plan: the message and its handler."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 if TYPE_CHECKING:
     from flintfield.memory.reducer import Turn
 
-KEPT_MS = 600_000.0  # a return is told for so long: far longer than a worker node warms
+RETENTION_MS = 600_000.0  # how long a return is reported; far longer than the warm-up of a worker node
 
 
 @value
 class PlanBars(UnitMessage):
-    """The worker nodes, by name, that are out by plan from now on."""
+    """The complete set of worker nodes, by name, that the plan excludes from now on."""
 
     nodes: frozenset[str]
 
 
 def stand(turn: Turn) -> None:
-    """Have all who look know who is out, by hand or by plan."""
+    """Update `State.barred` and inform the decision module of all excluded next hops."""
     turn.state.barred = turn.state.orders.all()
     turn.ask(turn.state.orders.told(turn.state.newer))
 
 
 def plan_bars(turn: Turn, message: PlanBars) -> None:
-    """Take in which are out by plan; who was let back counts as cold from now on."""
+    """Replace the nodes that the plan excludes; readmitted nodes count as cold from now on."""
     orders = turn.state.orders
     before, now = orders.by_plan, frozenset(worker_of(name) for name in message.nodes)
-    orders.plan_back = {w: at for w, at in orders.plan_back.items()
-                        if w not in now and turn.now - at < KEPT_MS}
-    orders.plan_back.update((worker, turn.now) for worker in before - now)
+    orders.planned_returns = {w: at for w, at in orders.planned_returns.items()
+                              if w not in now and turn.now - at < RETENTION_MS}
+    orders.planned_returns.update((worker, turn.now) for worker in before - now)
     orders.by_plan = now
     turn.state.counters["orders.planned"] += len(now - before)
     turn.state.counters["orders.plan_back"] += len(before - now)
     stand(turn)
-    turn.shut_barred()
+    turn.close_barred_connections()
--- a/flintfield/memory/reducer.py
+++ b/flintfield/memory/reducer.py
@@ -1,7 +1,7 @@
-"""The one place where the scheduler's memory changes and where the decision module is asked.
+"""The only place that changes the scheduler's state and calls the decision module.
 
-`reduce(state, now, message)` is synchronous, does no I/O and reads no clock: it returns the effects that the
-message calls for, in order. It must not be called while it runs.
+`reduce(state, now, message)` is synchronous, does no I/O and reads no clock. It returns the effects of the
+message in order. It is not reentrant.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
     Message, OpenBranch, ProbeEnded, ProbeHop, RouteCallFailed, RouteNews, StopAsked, Submitted, TryKeep,
     Verdict, Woke,
 )
-from flintfield.memory.state import Branch, BranchDue, DeadlineDue, KeepDue, State, TokenDue
+from flintfield.memory.state import Branch, BranchTimer, DeadlineTimer, DecisionTimer, RecordTimer, State
 
 
 def reduce(state: State, now: float, message: Message) -> list[Effect]:
-    """Take one message in and return the effects it calls for."""
+    """Process one message and return the resulting effects."""
     turn = Turn(state, now)
     turn.take(message)
     return turn.effects
 
 
 class Turn(Listing):
-    """One run of the reducer."""
+    """The processing of one message by the reducer."""
 
     def send(self, action: Send) -> None:
         transaction = self.state.transactions.get(action.rid)
@@ -43,11 +43,11 @@
             return
         if action.timeout_ms > 0:
             branch.timed = True
-            self.state.timers.set(self.now + action.timeout_ms, BranchDue(action.rid, number))
+            self.state.timers.set(self.now + action.timeout_ms, BranchTimer(action.rid, number))
         self.state.counters["branches.opened"] += 1
         if number == 0 and self.now > transaction.taken:
             self.state.counters["requests.held"] += 1
-        # Guards bookings against a connection that broke while it was idle, in whatever way.
+        # Only safe jobs reuse connections: one may have broken while idle, in any way, and fail a booking.
         cls = self.state.dispatcher.settings.classes[transaction.submission.cls]
         self.effects.append(OpenBranch(action.rid, number, route.address, cls.effect is ClassEffect.SAFE))
 
@@ -60,10 +60,10 @@
     def cancel(self, action: Cancel) -> None:
         transaction = self.state.transactions.get(action.rid)
         if transaction is not None and not transaction.branches[action.attempt].ended:
-            self._drop(transaction, action.attempt, Outcome.CANCELLED)
+            self._drop_branch(transaction, action.attempt, Outcome.CANCELLED)
 
     def set_timer(self, action: SetTimer) -> None:
-        self.state.timers.set(self.now + action.after_ms, TokenDue(action.token))
+        self.state.timers.set(self.now + action.after_ms, DecisionTimer(action.token))
 
     def probe(self, action: Probe) -> None:
         route = self.state.routes.get(action.worker)
@@ -76,49 +76,49 @@
     def probe_ended(self, message: ProbeEnded) -> None:
         outcome = outcome_of(message.ending)
         self.state.counters[f"probes.ended.{outcome.value}"] += 1
-        self._note_error(message.worker, outcome)
+        self._record_error(message.worker, outcome)
         self._events.append(Probed(message.worker, outcome, message.took_ms, message.ending.report))
 
     def woke(self, _: Woke) -> None:
         while (due := self.state.timers.pop_due(self.now)) is not None:
-            if isinstance(due, TokenDue):
+            if isinstance(due, DecisionTimer):
                 self._events.append(Timer(due.token))
-            elif isinstance(due, BranchDue):
-                self._time_out(due.rid, due.branch)
-            elif isinstance(due, KeepDue):
-                self._cut(due.ticket)
+            elif isinstance(due, BranchTimer):
+                self._time_out_branch(due.rid, due.branch)
+            elif isinstance(due, RecordTimer):
+                self._record_timed_out(due.ticket)
             else:
-                self._deadline(due.rid)
+                self._enforce_deadline(due.rid)
             self._run_events()
 
-    def _time_out(self, rid: int, number: int) -> None:
+    def _time_out_branch(self, rid: int, number: int) -> None:
         transaction = self.state.transactions.get(rid)
         if transaction is not None and not transaction.branches[number].ended:
             branch = transaction.branches[number]
-            held = branch.held and not branch.written  # our disk's doing: it proves nothing against anyone
-            self._drop(transaction, number, Outcome.MOOT if held else Outcome.TIMEOUT)
+            held = branch.held and not branch.written  # delayed by our disk or a front, not by the next hop
+            self._drop_branch(transaction, number, Outcome.MOOT if held else Outcome.TIMEOUT)
 
-    def _deadline(self, rid: int) -> None:
+    def _enforce_deadline(self, rid: int) -> None:
         transaction = self.state.transactions.get(rid)
         if transaction is None:
             return
         for number in range(len(transaction.branches)):
-            self._time_out(rid, number)
+            self._time_out_branch(rid, number)
         self._run_events()
         if not transaction.answered:
-            # Guards rule 1 whatever the decisions do: no caller is left without its answer.
+            # Rule 1, whatever the decision module does: every caller gets an answer.
             self._defect("overdue transaction", transaction.submission.name)
             self._answer(rid, Verdict.FAILED)
             self._events.append(Gone(rid))
 
     def stop_asked(self, message: StopAsked) -> None:
-        """Guards against a kill that finds unanswered what was taken before and is out nowhere."""
+        """Limit the deadlines of transactions without an open branch, to answer them before the kill."""
         state = self.state
         state.settle_by = message.settle_by
         for transaction in state.transactions.values():
             if not transaction.answered and all(b.ended for b in transaction.branches):
                 transaction.deadline = min(transaction.deadline, message.settle_by)
-                state.timers.set(transaction.deadline, DeadlineDue(transaction.rid))
+                state.timers.set(transaction.deadline, DeadlineTimer(transaction.rid))
         self._events.append(Ends(message.settle_by))
 
 
--- a/flintfield/memory/state.py
+++ b/flintfield/memory/state.py
@@ -1,4 +1,4 @@
-"""Everything the scheduler remembers. Only the reducer writes to it."""
+"""The in-memory state of the scheduler. Only the reducer writes to it."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 @dataclass(slots=True)
 class Branch:
-    """One attempt at a next hop."""
+    """One attempt to run a transaction at a next hop."""
 
     worker: WorkerId
     address: Address
     opened: float
     ended: bool = False
     written: bool = False
-    never_ran: bool = False  # its outcome proves it
-    timed: bool = False  # it has a time-out of its own
-    held: bool = False  # connected, and its first byte waits for a record
+    never_ran: bool = False  # the outcome proves that the next hop did not run the job
+    timed: bool = False  # has its own timeout
+    held: bool = False  # connected; waits for a record or the front before its first byte
 
 
 @dataclass(slots=True)
 class Transaction:
-    """One caller's request, from its last byte to its answer and the end of its branches."""
+    """One caller's request, from its last byte until it is answered and its branches ended."""
 
     rid: int
     submission: Submission
@@ -43,129 +43,129 @@
     answered: bool = False
 
     def settled(self) -> bool:
-        """Whether it is answered and nothing of it is still out."""
+        """Whether it is answered and all its branches have ended."""
         return self.answered and all(b.ended for b in self.branches)
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class TokenDue:
-    """A timer of the decision module."""
+class DecisionTimer:
+    """Identifies a timer of the decision module."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class DeadlineDue:
-    """Memory's own backstop: by now the transaction must be settled."""
+class DeadlineTimer:
+    """Identifies the deadline of a transaction; the reducer settles it then, whatever was decided."""
 
     rid: int
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class BranchDue:
-    """The time-out of one branch."""
+class BranchTimer:
+    """Identifies the timeout of one branch."""
 
     rid: int
     branch: int
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class KeepDue:
-    """What waits for a record has waited long enough."""
+class RecordTimer:
+    """Identifies the longest wait of a step for its record to be written."""
 
     ticket: int
 
 
-Due = TokenDue | DeadlineDue | BranchDue | KeepDue
+TimerKey = DecisionTimer | DeadlineTimer | BranchTimer | RecordTimer
 
 
 class Timers:
-    """What is to happen when, soonest first. A cancelled timer leaves no more than a bounded rest behind."""
+    """Pending timers, soonest first. The space taken by cancelled timers is bounded."""
 
     def __init__(self) -> None:
-        self._agenda: Agenda[Due] = Agenda()
+        self._agenda: Agenda[TimerKey] = Agenda()
 
     def __len__(self) -> int:
         return len(self._agenda)
 
-    def set(self, at: float, due: Due) -> None:
-        """Set a timer, anew if it was set; those of one moment ring in the order they were set."""
+    def set(self, at: float, due: TimerKey) -> None:
+        """Set or replace a timer; timers due at the same time fire in the order in which they were set."""
         self._agenda.put(due, at)
 
-    def cancel(self, due: Due) -> None:
-        """It need not ring, if it was set."""
+    def cancel(self, due: TimerKey) -> None:
+        """Cancel a timer, if it is set."""
         self._agenda.drop(due)
 
     def next_at(self) -> float | None:
-        """When the first one rings."""
+        """When the next timer fires; None if there is none."""
         return self._agenda.next_at()
 
-    def pop_due(self, now: float) -> Due | None:
-        """Take the first one that has come due."""
+    def pop_due(self, now: float) -> TimerKey | None:
+        """Remove and return the first timer that is due."""
         return self._agenda.pop_due(now)
 
 
 Tap = Callable[[float, Event, Sequence[Action]], None]
-"""Looks on: each event with its time as the decision module got it, and the actions it answered with."""
+"""Observes each event that the decision module receives, with its time, and the resulting actions."""
 
 class Admission(Protocol):
-    """Limits that a job must be within before the decision module hears of it. Pure, as the memory is."""
+    """Limits checked before a job is passed to the decision module. Does no I/O and reads no clock."""
 
     def latest(self, now: float, given: Submission) -> float:
-        """By when it must be settled, whatever its caller says; inf: no matter."""
+        """The latest deadline allowed for the job, whatever its caller asks for; inf if unlimited."""
 
     def admit(self, now: float, rid: int, given: Submission) -> float | None:
-        """None: it is within all limits, and counted. Else for how many ms its caller should stay away."""
+        """Count the job and return None if it is within all limits; else return the retry delay in ms."""
 
     def settled(self, rid: int) -> None:
-        """A transaction is over, taken or not."""
+        """Called when a transaction is settled, whether it was admitted or not."""
 
 
 Handler = Callable[[Any, Any], None]
-"""Takes in a unit's own message within a `reducer.Turn`: no I/O, no clock but `turn.now`."""
+"""Handles a unit's own message within a `reducer.Turn`; does no I/O and reads no clock but `turn.now`."""
 
 
 class State:
-    """The scheduler's memory."""
+    """All state of the scheduler."""
 
     def __init__(self, dispatcher: Dispatcher, most_held: int, discovery: Address,
                  jobs: Jobs | None = None) -> None:
         self.dispatcher, self.discovery = dispatcher, discovery
         self.limits: Limits = dispatcher.settings.limits
         self.most_held = most_held
-        self.jobs = jobs  # None: what has become of jobs is not kept
-        self.ledger: Ledger | None = None  # None: nothing lasts
+        self.jobs = jobs  # None: job status is not tracked
+        self.ledger: Ledger | None = None  # None: job records are not written to disk
         self.tap: Tap | None = None
-        self.admission: Admission | None = None  # None: jobs are within all limits
-        self.handlers: dict[type, Handler] = {}  # of the messages that are units' own
+        self.admission: Admission | None = None  # None: no limits
+        self.handlers: dict[type, Handler] = {}  # by type of the units' own messages
         self.transactions: dict[int, Transaction] = {}
-        self.names: dict[str, int] = {}  # the ids callers gave to the transactions that are not settled
+        self.names: dict[str, int] = {}  # rid of each unsettled transaction by its job id
         self.routes: dict[WorkerId, Route] = {}
-        self.last_errors: dict[WorkerId, tuple[float, str]] = {}  # of next hops in the route set: when, what
+        self.last_errors: dict[WorkerId, tuple[float, str]] = {}  # by next hop in the route set: time, error
         self.orders = Barred()
-        self.barred: frozenset[WorkerId] = frozenset()  # next hops that are out by hand or by plan
-        self.drained = False  # by operators: callers are sent elsewhere
-        # Of other processes of this scheduler, as one is started over the other:
-        self.shared = False  # the listening socket is theirs too
-        self.linked = False  # some are told of our jobs
-        self.newer = self.newer_ready = False  # one was started after us; it serves
-        self.elsewhere: Counter[str] = Counter()  # ids of jobs that are open there
-        self.generation: int | None = None  # of the route set; None: the whole list is wanted
-        self.calls = 0  # made to discovery: only the last one's answer counts
-        self.watching = False  # a call to discovery is out, or the next one follows
+        self.barred: frozenset[WorkerId] = frozenset()  # next hops excluded manually or by plan
+        self.drained = False  # by operators: callers are to connect elsewhere
+        # About other processes of this scheduler, which overlap during an upgrade:
+        self.shared = False  # the listening socket is shared with them
+        self.linked = False  # at least one is informed of our jobs
+        self.newer = self.newer_ready = False  # one was started after this one; it is ready to serve
+        self.elsewhere: Counter[str] = Counter()  # ids of jobs that are open in other processes
+        self.generation: int | None = None  # of the route set; None: request the whole list
+        self.calls = 0  # made to discovery; answers to all but the last one are ignored
+        self.watching = False  # a call to discovery is pending, or about to be made
         self.called_at = -math.inf  # when the last call was made
-        self.due: float | None = None  # when what a broken watch may have hidden counts as told
-        self.told = False  # discovery has answered this process
+        self.due: float | None = None  # when changes missed by a failed watch take effect
+        self.told = False  # discovery has answered this process at least once
         self.timers = Timers()
         self.counters: Counter[str] = Counter()
-        self.settle_by = math.inf  # when all is to be answered, once the program was told to end
+        self.settle_by = math.inf  # deadline for all answers after a request to stop
 
     @property
-    def sends_away(self) -> bool:
-        """Whether callers' connections end with their answers: others serve them."""
+    def closes_connections(self) -> bool:
+        """Whether answers close callers' connections, so that the callers move to other processes."""
         return self.drained or (self.shared and self.stopping)
 
     @property
     def stopping(self) -> bool:
-        """Whether the program was told to end."""
+        """Whether the program was asked to stop."""
         return self.settle_by < math.inf
--- a/flintfield/memory/status.py
+++ b/flintfield/memory/status.py
@@ -1,4 +1,4 @@
-"""What the status page tells: the next hops as they stand, and the jobs in work."""
+"""Data of the status page: the current next hops, and the number of open jobs."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from flintfield.decision.interface import State as Lifecycle
 from flintfield.memory.state import State
 
-WORDS = {Lifecycle.READY: "in_service", Lifecycle.DRAINING: "terminating", Lifecycle.GONE: "terminated"}
+STATE_NAMES = {Lifecycle.READY: "in_service", Lifecycle.DRAINING: "terminating", Lifecycle.GONE: "terminated"}
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """A next hop; its last error, and how long ago that was, unless it was too long ago."""
+    """A next hop, with its last error and the age of that error; `last_error` is None if it is too old."""
 
     name: str
     address: str
@@ -24,23 +24,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """All that the page tells at one time."""
+    """A snapshot of the data of the status page."""
 
     uptime_s: float
     servers: tuple[Server, ...]
-    load: dict[str, int]  # jobs in work, of every class
+    load: dict[str, int]  # number of open jobs by class
 
 
 def take_status(state: State, now: float, began: float, classes: Sequence[str], keep_ms: float) -> Status:
-    """Look at the memory as it is now; errors older than `keep_ms` are left out."""
+    """Take a snapshot of the state; errors older than `keep_ms` are omitted."""
     load = dict.fromkeys(classes, 0)
     for transaction in state.transactions.values():
         if not transaction.answered:
             load[transaction.submission.class_name] += 1
     servers = []
     for worker, route in state.routes.items():
-        at, word = state.last_errors.get(worker, (now, None))
-        shown = word if now - at <= keep_ms else None
-        servers.append(Server(route.name, "{}:{}".format(*route.address), WORDS[route.entry.state], shown,
-                              (now - at) / 1000))
+        at, error = state.last_errors.get(worker, (now, None))
+        shown = error if now - at <= keep_ms else None
+        servers.append(Server(route.name, "{}:{}".format(*route.address), STATE_NAMES[route.entry.state],
+                              shown, (now - at) / 1000))
     return Status((now - began) / 1000, tuple(servers), load)
--- a/flintfield/memory/succession.py
+++ b/flintfield/memory/succession.py
@@ -1,8 +1,8 @@
-"""What the reducer takes in from other processes of this scheduler (`handover/core.py` says what they tell).
+"""Messages from other processes of this scheduler, and their handlers (sent by `handover/core.py`).
 
-A newer process takes up what the older one has learned and what it sent to cold next hops of late. While both
-are there, the cold budgets are the newer one's alone, and a job id that is open in one is not started by the
-other: the newer gives way, unless the job was let out already.
+A newer process inherits what the older one has learned and what it recently sent to cold next hops. While
+both run, only the newer one uses the cold budgets, and a job id that is open in one is not started by the
+other: the newer process fails its copy unless the job was already sent.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 @value
 class Inherited(UnitMessage):
-    """What the process before us has learned and spent, as `figures_of` made it."""
+    """What the previous process has learned and spent, as returned by `figures_of`."""
 
     figures: Any
 
 
 @value
 class IdsElsewhere(UnitMessage):
-    """Job ids that other processes have opened and closed; `older`: they were there before us."""
+    """Job ids that other processes opened and closed; `older`: those processes started before this one."""
 
     opened: tuple[str, ...]
     closed: tuple[str, ...]
@@ -38,7 +38,7 @@
 
 @value
 class Stands(UnitMessage):
-    """Whether others are linked to us, whether one of them is newer, and whether the newest serves."""
+    """Whether other processes are linked, whether one is newer, and whether the newest is ready."""
 
     linked: bool
     newer: bool
@@ -47,24 +47,24 @@
 
 @value
 class Nothing(UnitEffect):
-    """What was inherited could not be read, and why."""
+    """The inherited figures could not be read; `why` gives the reason."""
 
     why: str
 
 
 def figures_of(state: State, now: float) -> dict[str, Any]:
-    """What a newer process is to take up, as plain values."""
+    """The figures that a newer process inherits, as plain values."""
     return {"learned": learned(state.dispatcher), "spent": spent(state.dispatcher, now)}
 
 
 class Succession:
-    """The reducer's handlers; `stand` has the decision module told anew who is out and whose the cold are."""
+    """The reducer's handlers; `stand` informs the decision module of excluded nodes and cold budgets."""
 
     def __init__(self, stand: Callable[[Turn], None]) -> None:
         self._stand = stand
 
     def inherited(self, turn: Turn, message: Inherited) -> None:
-        """Take up the figures."""
+        """Load the inherited figures."""
         dispatcher = turn.state.dispatcher
         try:
             recall(dispatcher, message.figures["learned"])
@@ -75,7 +75,7 @@
             turn.state.counters["handover.inherited"] += 1
 
     def elsewhere(self, turn: Turn, message: IdsElsewhere) -> None:
-        """Jobs of others come and go."""
+        """Update the job ids that are open in other processes."""
         state = turn.state
         ids: Counter[str] = state.elsewhere
         ids.update(message.opened)
@@ -88,7 +88,7 @@
                 turn.give_way(rid)
 
     def stands(self, turn: Turn, message: Stands) -> None:
-        """Others come and go."""
+        """Update which other processes are linked."""
         state = turn.state
         state.linked, state.newer_ready = message.linked, message.newer_ready
         if state.newer is not message.newer:
--- a/flintfield/memory/taking.py
+++ b/flintfield/memory/taking.py
@@ -1,41 +1,42 @@
-"""Requests as they come, and callers that leave."""
+"""Incoming requests, and callers that disconnect."""
 
 from __future__ import annotations
 
 from flintfield.decision.interface import Gone, Request
 from flintfield.memory.keeping import Keeping
 from flintfield.memory.messages import CallerLeft, JobOpened, Submitted, Untracked, Verdict
-from flintfield.memory.state import DeadlineDue, Transaction
+from flintfield.memory.state import DeadlineTimer, Transaction
 
-DEADLINE_MARGIN_MS = 10.0  # deadlines count from the caller's send, which we see later; a loop may run late
+DEADLINE_MARGIN_MS = 10.0  # deadlines count from the caller's send, before receipt; the event loop may lag
 
 
 class Taking(Keeping):
-    """The beginning of a transaction."""
+    """Starts transactions and handles callers that disconnect."""
 
     def submitted(self, message: Submitted) -> None:
         state, given = self.state, message.submission
         state.counters[f"requests.taken.{given.class_name}"] += 1
-        # Guards against a kill that finds unanswered what was taken after the program was told to end.
+        # While the program stops, requests are answered before the process is killed.
         deadline = min(self.now + max(0.0, given.wait_ms - DEADLINE_MARGIN_MS), state.settle_by)
         if state.admission:
             deadline = min(deadline, state.admission.latest(self.now, given))
         transaction = Transaction(message.rid, given, self.now, deadline)
         state.transactions[message.rid] = transaction
-        state.timers.set(deadline, DeadlineDue(message.rid))  # first of all: whatever fails, this answers
+        state.timers.set(deadline, DeadlineTimer(message.rid))  # first, so that it is answered whatever fails
         if given.name in state.names:
-            # Guards against a second copy of one job: the first one of this id is still in work.
+            # Prevents a second copy of a job: the first one with this id is still open.
             state.counters["requests.same_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
         if given.name in state.elsewhere:
-            # Guards against two at once in two processes: another one of this scheduler has it in work.
+            # Prevents two copies in two processes: another process of this scheduler has the job open.
             state.counters["requests.open_elsewhere"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
         ledger = state.ledger
-        if ledger and state.jobs and ledger.forbids(given.class_name, state.jobs.find(self.now, given.name)):
-            # Guards against a second run of a job that an earlier run of the program had let out.
+        if ledger and state.jobs and ledger.forbids_rerun(given.class_name,
+                                                          state.jobs.find(self.now, given.name)):
+            # Prevents a second run of a job that may have run during an earlier run of the program.
             state.counters["requests.interrupted_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
@@ -44,7 +45,7 @@
             self.effects.append(JobOpened(given.name))
         tracked = self._track(transaction)
         if ledger and ledger.refuses(given.class_name, tracked):
-            self._refuse_unkept(message.rid)
+            self._refuse_unrecorded(message.rid)
             return
         if state.admission and (away := state.admission.admit(self.now, message.rid, given)) is not None:
             state.counters["requests.limited"] += 1
@@ -57,7 +58,7 @@
                                     slots=given.slots, memory=given.memory, repeat=given.repeat))
 
     def _track(self, transaction: Transaction) -> bool:
-        """Take the job into the table, where there is one; whether it is there."""
+        """Add the job to the job table, if there is one; return whether it was added."""
         jobs, given = self.state.jobs, transaction.submission
         if jobs is None:
             return False
@@ -67,11 +68,11 @@
             return False
         if self.state.ledger and jobs.evicted:
             self.effects += self.state.ledger.forget(jobs.evicted)
-        self._keep(given.name)
+        self._write_record(given.name)
         return True
 
     def give_way(self, rid: int) -> None:
-        """Another process has the same job in work: give up ours, if nothing of it was let out."""
+        """Fail our copy of a job that another process has open, unless it was sent or answered already."""
         transaction = self.state.transactions[rid]
         if transaction.answered or any(b.written for b in transaction.branches):
             return
@@ -84,5 +85,5 @@
         if transaction is None or transaction.answered:
             return
         self.state.counters[f"requests.left.{transaction.submission.class_name}"] += 1
-        self._answer(message.rid, Verdict.FAILED)  # should it only have ended its sending, it still gets one
+        self._answer(message.rid, Verdict.FAILED)  # it may only have closed its sending side
         self._events.append(Gone(message.rid))
--- a/flintfield/memory/terms.py
+++ b/flintfield/memory/terms.py
@@ -1,4 +1,4 @@
-"""The values that the reducer's messages and effects share; read from messages.py, their door."""
+"""Values shared by the reducer's messages and effects. Import them from messages.py."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
 
 
 class Reach(IntEnum):
-    """How far an attempt had come when it ended."""
+    """The progress of an attempt when it ended."""
 
-    UNTRIED = 0  # not begun, for want of a descriptor or a port of our own
+    UNTRIED = 0  # not started, for lack of a local descriptor or port
     DIALLING = 1  # no connection yet
-    WRITING = 2  # connected, but the last byte had not left
-    SENT = 3  # the last byte may have left
-    ANSWERED = 4  # the next hop had answered
+    WRITING = 2  # connected, but the last byte was not sent
+    SENT = 3  # the last byte may have been sent
+    ANSWERED = 4  # the next hop answered
 
 
 class End(Enum):
-    """What ended a branch, a probe or a call."""
+    """How a branch, a probe or a call ended."""
 
     DONE = "done"
     FAILED = "failed"
-    DECLINED = "declined"  # turned away or handed back: the next hop proves that it never ran
+    DECLINED = "declined"  # rejected or returned by the next hop, which proves that the job never ran
     LOST = "lost"
-    BROKEN = "broken"  # the connection: refused, never up, reset or ended early
+    BROKEN = "broken"  # connection refused, never established, reset or closed early
 
 
 @value
 class Ending:
-    """An error, or a result, as a value: what happened and how far it had come."""
+    """An error or a result as a value: how an attempt ended and its progress by then."""
 
     end: End
     reach: Reach
     result: bytes = b""
     report: Report | None = None
-    word: str = ""  # for people
+    word: str = ""  # human-readable detail
 
 
 @value
 class Route:
-    """A line of the route set: a next hop, where it listens and what the decisions are told of it."""
+    """An entry of the route set: a next hop, its address and the data passed to the decision module."""
 
     name: str
     address: Address
@@ -55,13 +55,13 @@
 
 
 def worker_of(instance: str) -> int:
-    """A next hop's number: alike at every scheduler and after every restart, for decisions rank by it."""
+    """The number of a next hop. Decisions rank by it, so it is the same at every scheduler and restart."""
     return int.from_bytes(hashlib.blake2b(instance.encode(), digest_size=6).digest(), "little")
 
 
 @value
 class Submission:
-    """A caller's request as it came; `target` is path and query."""
+    """A caller's request as received; `target` is path and query."""
 
     name: str
     method: bytes
@@ -69,34 +69,34 @@
     body: bytes
     cls: int
     class_name: str
-    wait_ms: float  # how long the caller waits, from its send
+    wait_ms: float  # how long the caller waits, counted from when it sent the request
     key: int = 0
     cost_ms: float | None = None
     slots: float = 1.0
     memory: float = 0.0
     repeat: bool = False
-    owner: str = ""  # who the caller says the job is for (`Req-Owner`)
-    tenant: int = -1  # the place of that owner in the settings; -1: it has none
-    idempotency_key: bytes = b""  # by which next hops know the repeats of a request, passed on as it came
-    front: str = ""  # who handed it in, where that is not the main listener: it is asked and answered
+    owner: str = ""  # the owner of the job according to the caller (`Req-Owner`)
+    tenant: int = -1  # index of that owner in the settings; -1: not listed
+    idempotency_key: bytes = b""  # passed on unchanged; next hops detect repeats by it
+    front: str = ""  # submitter if not the main listener; receives `MayWrite` and `FrontAnswer`
 
 
 @value
 class Lasting:
-    """A job's record as it is to last; `memory/ledger.py` says what it promises."""
+    """A job's record on disk; `memory/ledger.py` describes what it guarantees."""
 
     name: str
     kind: str
     state: str
     instance: str | None
     outcome: str | None
-    ran: bool  # it may have run: it was let out, and nothing proved yet that it did not run
-    sure: bool  # were it not so, `ran` would be set
-    keep_ms: float  # how long it is to be kept from now on
+    ran: bool  # it may have run: it was sent, and no outcome proves that it did not run
+    sure: bool  # `ran` is reliable: the job is never sent before a record says so
+    keep_ms: float  # retention time, counted from now
 
 
 class Verdict(Enum):
-    """The kinds of final answer."""
+    """The kind of a final answer."""
 
     SERVED = "served"
     REFUSED = "refused"
--- a/flintfield/memory/turn.py
+++ b/flintfield/memory/turn.py
@@ -1,14 +1,14 @@
-"""One turn of the reducer, as far as the decision module goes: events wait until it is free for them.
+"""Base layer of the reducer: queues events for the decision module and dispatches its actions.
 
-The reducer is layers over this one, a kind of message and a file each, that call only what stands below them:
+The reducer consists of layers, one file for each group of messages; a layer calls only those above it here:
 
-    turn         events to the decision module, and what it says     (this file)
-    answering    the one answer of a transaction, and what lasts of it
-    branching    how branches are let out and end
-    keeping      steps that wait for a disk
-    taking       requests as they come, and callers that leave
+    turn         events to the decision module, and its actions       (this file)
+    answering    the single answer of a transaction, and its job record
+    branching    how branches are sent and end
+    keeping      steps that wait for a record on disk
+    taking       incoming requests, and callers that disconnect
     listing      discovery: the route set, calls that fail, a new address
-    reducer      timers, the module's actions, the table of messages
+    reducer      timers, actions of the decision module, message dispatch table
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from flintfield.memory.messages import Defect, Effect, Message
 from flintfield.memory.state import State
 
-LAST_CALL_MS = 300.0  # before the end of a program that stops: connections are closed after their answers
+FINAL_CLOSE_MS = 300.0  # before the end of a stop; from then on every answer closes its connection
 
 Table = dict[type, Callable[[Any, Any], None]]
 
 
 class Desk:
-    """What every layer has at hand.
+    """State and helpers common to all layers.
 
-    A unit's handler reads `state` and `now`, changes what is its own, and adds to `effects`.
+    A unit's handler reads `state` and `now`, changes only its own data, and appends to `effects`.
     """
 
     MESSAGES: ClassVar[Table] = {}
@@ -43,13 +43,13 @@
         self._events: deque[Event] = deque()
 
     def take(self, message: Message) -> None:
-        """Take the message in, and all that follows from it."""
+        """Process a message and all events that follow from it."""
         kind = type(message)
         (self.MESSAGES.get(kind) or self.state.handlers[kind])(self, message)
         self._run_events()
 
     def ask(self, event: Event) -> None:
-        """Have the decision module told this event before the turn ends."""
+        """Queue an event that is passed to the decision module before the turn ends."""
         self._events.append(event)
 
     def _run_events(self) -> None:
@@ -58,7 +58,7 @@
             for action in self._decide(event):
                 try:
                     self.ACTIONS[type(action)](self, action)
-                except Exception as error:  # guards the actions behind it: among them may be the next tick
+                except Exception as error:  # the remaining actions still run; one may set the next tick
                     self._defect(f"action {type(action).__name__}", repr(error))
 
     def _decide(self, event: Event) -> list[Action]:
@@ -66,21 +66,21 @@
         try:
             actions = dispatcher.handle(self.now, event)
         except Exception as error:
-            # Guards against one bad event ending the price tick, or a caller's wait without an answer.
+            # A failing event must neither stop the price tick nor leave a caller without an answer.
             self._defect(f"decision on {type(event).__name__}", repr(error))
             actions = list(dispatcher.actions)
-            self._show(event)
+            self._call_tap(event)
             if isinstance(event, Timer) and event.token == TICK:
                 actions = [a for a in actions if not (isinstance(a, SetTimer) and a.token == TICK)]
                 actions.append(SetTimer(TICK_MS, TICK))
             if isinstance(event, Request) and not any(isinstance(a, Send) for a in actions):
                 actions.append(Fail(event.rid))
             return actions
-        self._show(event)
+        self._call_tap(event)
         return actions
 
-    def _show(self, event: Event) -> None:
-        """Let the tap see what the module itself said; guards against a tap that fails: it is let go."""
+    def _call_tap(self, event: Event) -> None:
+        """Pass the event and the module's own actions to the tap; a tap that raises is removed."""
         if self.state.tap:
             try:
                 self.state.tap(self.now, event, self.state.dispatcher.actions)
@@ -92,6 +92,6 @@
         self.state.counters["defects"] += 1
         self.effects.append(Defect(where, error))
 
-    def last_call(self) -> float:
-        """From then on callers are sent away."""
-        return self.state.settle_by - LAST_CALL_MS
+    def final_close_at(self) -> float:
+        """The time from which answers close callers' connections during a stop."""
+        return self.state.settle_by - FINAL_CLOSE_MS
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -1,4 +1,4 @@
-"""What lasts of jobs: the reducer with a ledger, and a disk that is well, slow, full or gone."""
+"""Job records on disk: the reducer with a ledger, and a disk that works, stalls or fails."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from flintfield.decision.interface import NEVER_RAN, ListMode, State as Lifecycle
 from flintfield.memory.jobs import JobRecord, Jobs
-from flintfield.memory.ledger import MOST_OUT, Ledger
+from flintfield.memory.ledger import MAX_PENDING_TICKETS, Ledger
 from flintfield.memory.messages import (
     Answer, BranchEnded, BranchUp, CallerLeft, DropBranch, Effect, End, Ending, HoldBranch, Keep, KeepFailed,
     Kept, Lasting, Message, OpenBranch, Reach, RouteNews, Submission, Submitted, TryKeep, Verdict,
     Woke, WriteBranch,
 )
 from flintfield.memory.branching import outcome_of
-from flintfield.memory.state import BranchDue, State
+from flintfield.memory.state import BranchTimer, State
 from test_memory import DONE, Memory, Script, only, route
 
 BOOKING = "social-booking"
@@ -25,7 +25,7 @@
 
 
 class Disk(Memory):
-    """A reducer with a ledger, and what its disk holds; tickets come back when the test says so."""
+    """A reducer with a ledger, and a simulated disk; the test decides when tickets complete."""
 
     def __init__(self, promise: bool = True, most: int = 100, hops: int = 3) -> None:
         def prepare(state: State) -> None:
@@ -33,61 +33,61 @@
             state.ledger = Ledger(frozenset({BOOKING}), KEEP_MS, WAIT_MS, promise, most)
 
         self.waiting: list[Keep] = []
-        self.there: dict[str, Lasting] = {}
-        self.let_out: dict[tuple[int, int], str] = {}  # branches that were written, and may have run
+        self.on_disk: dict[str, Lasting] = {}
+        self.written_branches: dict[tuple[int, int], str] = {}  # their job ids
         super().__init__(hops, prepare)
 
     def take(self, message: Message) -> list[Effect]:
         if isinstance(message, BranchEnded) and outcome_of(message.ending) in NEVER_RAN:
-            self.let_out.pop((message.rid, message.branch), None)
+            self.written_branches.pop((message.rid, message.branch), None)
         effects = super().take(message)
         for effect in effects:
             if isinstance(effect, Keep):
                 self.waiting.append(effect)
             elif isinstance(effect, WriteBranch):
                 self._check_write(effect)
-        for name in self.let_out.values():
-            record = self.there.get(name)
-            # What a restarted program would tell of it: never that it did not run.
+        for name in self.written_branches.values():
+            record = self.on_disk.get(name)
+            # After a restart no record may claim that the job did not run.
             assert record is None or record.ran or not record.sure or record.outcome
         return effects
 
     def _check_write(self, effect: WriteBranch) -> None:
         given = effect.submission
-        self.let_out[effect.rid, effect.branch] = given.name
+        self.written_branches[effect.rid, effect.branch] = given.name
         ledger = self.state.ledger
         if given.class_name == BOOKING and ledger and ledger.promise:
             worker = self.state.transactions[effect.rid].branches[effect.branch].worker
-            record = self.there[given.name]
+            record = self.on_disk[given.name]
             assert record.ran and record.instance == f"s-{worker}" and record.state == "running"
 
-    def answer_disk(self, well: bool = True, there: bool = True) -> list[Effect]:
-        """The oldest ticket comes back; what failed may be there all the same."""
+    def answer_disk(self, succeeds: bool = True, on_disk: bool = True) -> list[Effect]:
+        """Complete the oldest ticket; a failed write may have reached the disk regardless (`on_disk`)."""
         if not self.waiting:
             return []
         keep = self.waiting.pop(0)
-        if well or there:
-            self.there |= {r.name: r for r in keep.records}
+        if succeeds or on_disk:
+            self.on_disk |= {r.name: r for r in keep.records}
             for name in keep.gone:
-                self.there.pop(name, None)
-        return self.take(Kept((keep.ticket,)) if well else KeepFailed((keep.ticket,)))
+                self.on_disk.pop(name, None)
+        return self.take(Kept((keep.ticket,)) if succeeds else KeepFailed((keep.ticket,)))
 
     def settle(self) -> list[Effect]:
-        """All tickets come back well."""
+        """Complete all tickets successfully."""
         effects = []
         while self.waiting:
             effects += self.answer_disk()
         return effects
 
     def seen(self, name: str) -> tuple[str, str | None, bool]:
-        record = self.there[name]
+        record = self.on_disk[name]
         return record.state, record.outcome, record.ran
 
 
-# ---------------------------------------------------------------- the steps that wait
+# --------------------------------------------------------- steps that wait for a record
 
 
-def test_a_bookings_first_byte_waits_for_its_record_and_its_served_answer_for_its_end() -> None:
+def test_a_bookings_first_byte_and_served_answer_wait_for_their_records() -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.settle()
@@ -102,7 +102,7 @@
     assert disk.seen("1")[:2] == ("ended", "served") and not disk.state.transactions
 
 
-def test_what_may_be_repeated_waits_for_nothing_and_is_sure_of_nothing() -> None:
+def test_an_unguarded_job_waits_for_no_record_and_its_records_are_not_sure() -> None:
     disk = Disk()
     disk.submit(1)
     assert only(disk.take(BranchUp(1, 0)), WriteBranch)
@@ -113,7 +113,7 @@
     assert disk.seen("1")[:2] == ("ended", "served")
 
 
-def test_a_branch_that_never_ran_is_taken_back_and_one_that_may_have_is_not() -> None:
+def test_the_record_of_a_branch_is_reverted_only_if_it_never_ran() -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.take(BranchUp(1, 0))
@@ -128,7 +128,7 @@
     assert disk.seen("1")[:2] == ("ended", "failed")
 
 
-def test_a_drain_told_while_the_record_is_written_lets_nothing_out() -> None:
+def test_a_drain_during_the_record_write_prevents_the_request() -> None:
     disk = Disk()
     branch = only(disk.submit(1, cls=1), OpenBranch)
     disk.take(BranchUp(1, 0))
@@ -141,7 +141,7 @@
     assert disk.seen("1") == ("waiting", None, False)
 
 
-def test_a_caller_that_leaves_while_the_record_is_written_has_its_branch_dropped() -> None:
+def test_a_disconnect_during_the_record_write_drops_the_branch() -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.take(BranchUp(1, 0))
@@ -150,7 +150,7 @@
     assert not disk.all(WriteBranch) and disk.seen("1")[:2] == ("ended", "failed")
 
 
-def test_a_job_that_one_branch_may_have_run_is_not_cleared_by_the_next() -> None:
+def test_a_declined_branch_does_not_clear_ran_set_by_an_earlier_one() -> None:
     disk = Disk()
     disk.submit(1)
     disk.take(BranchUp(1, 0))
@@ -161,31 +161,31 @@
     assert disk.seen("1") == ("waiting", None, True)
 
 
-def test_a_branch_that_times_out_unwritten_is_held_against_nobody() -> None:
+def test_a_timeout_before_the_write_is_no_error_of_the_next_hop() -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.take(BranchUp(1, 0))
-    disk.state.timers.set(disk.now, BranchDue(1, 0))
+    disk.state.timers.set(disk.now, BranchTimer(1, 0))
     disk.take(Woke())
     assert disk.state.counters["branches.ended.moot"] == 1 and not disk.state.last_errors
 
 
-# ------------------------------------------------------------------- a disk that is not well
+# -------------------------------------------------------------------------- disk failures
 
 
 @pytest.mark.parametrize("how", ["fails", "stalls"])
-def test_with_the_promise_a_booking_without_a_record_is_refused_and_others_are_served(how: str) -> None:
+def test_with_promise_unrecorded_bookings_are_refused_and_other_jobs_served(how: str) -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.settle()
     disk.take(BranchUp(1, 0))
     if how == "fails":
-        disk.answer_disk(well=False)
+        disk.answer_disk(succeeds=False)
     else:
         disk.until(disk.now + WAIT_MS + 1)
     assert [a.verdict for a in disk.all(Answer)] == [Verdict.REFUSED]
     assert disk.all(DropBranch) == [DropBranch(1, 0)] and not disk.all(WriteBranch)
-    disk.submit(2, cls=1)  # not even taken to a next hop
+    disk.submit(2, cls=1)  # refused before any next hop is contacted
     assert [a.rid for a in disk.all(Answer)] == [1, 2] and disk.state.counters["store.refused"] == 2
     disk.submit(3)
     assert only(disk.take(BranchUp(3, 0)), WriteBranch)
@@ -200,24 +200,24 @@
     assert [w.rid for w in disk.all(WriteBranch)] == [3, 4]
 
 
-def test_without_the_promise_a_booking_goes_out_unrecorded_after_its_wait_and_nothing_is_sure() -> None:
+def test_without_promise_a_booking_is_sent_unrecorded_after_the_wait() -> None:
     disk = Disk(promise=False)
     disk.submit(1, cls=1)
     disk.settle()
-    assert not disk.there["1"].sure
+    assert not disk.on_disk["1"].sure
     disk.take(BranchUp(1, 0))
     assert not disk.all(WriteBranch)
     disk.until(disk.now + WAIT_MS + 1)
     assert only(list(disk.effects), WriteBranch) and disk.state.counters["store.branches_unkept"] == 1
     assert only(disk.take(BranchEnded(1, 0, DONE)), Answer).verdict is Verdict.SERVED
     disk.submit(2, cls=1)
-    assert [type(e) for e in disk.take(BranchUp(2, 0))] == [WriteBranch]  # it waits no second time
-    assert disk.take(TryKeep()) == []  # what is out will tell
+    assert [type(e) for e in disk.take(BranchUp(2, 0))] == [WriteBranch]  # the ledger is down: no wait
+    assert disk.take(TryKeep()) == []  # a pending ticket will show whether the disk works
     disk.settle()
     assert disk.seen("2") == ("running", None, True)
 
 
-def test_a_served_answer_waits_no_longer_than_it_may() -> None:
+def test_a_served_answer_is_sent_after_its_maximum_wait() -> None:
     disk = Disk()
     disk.submit(1, cls=1)
     disk.take(BranchUp(1, 0))
@@ -231,67 +231,67 @@
     assert len(disk.all(Answer)) == 1
 
 
-def test_a_queue_of_tickets_that_does_not_get_shorter_counts_as_a_stall() -> None:
+def test_too_many_pending_tickets_count_as_a_stalled_disk() -> None:
     disk = Disk(most=10)
-    for rid in range(1, MOST_OUT):
+    for rid in range(1, MAX_PENDING_TICKETS):
         disk.submit(rid)
         disk.take(CallerLeft(rid))
-    assert len(disk.waiting) <= MOST_OUT
+    assert len(disk.waiting) <= MAX_PENDING_TICKETS
     before = len(disk.waiting)
-    disk.submit(MOST_OUT, cls=1)
+    disk.submit(MAX_PENDING_TICKETS, cls=1)
     assert only([disk.effects[-1]], Answer).verdict is Verdict.REFUSED and len(disk.waiting) == before
 
 
-def test_a_booking_that_finds_no_room_in_the_table_is_refused() -> None:
+def test_a_booking_is_refused_if_the_job_table_is_full() -> None:
     disk = Disk(most=1)
     disk.submit(1)
     assert only(disk.submit(2, cls=1), Answer).verdict is Verdict.REFUSED
 
 
-def test_who_leaves_the_table_leaves_the_disk() -> None:
+def test_jobs_evicted_from_the_table_are_deleted_from_disk() -> None:
     disk = Disk(most=2)
     for rid in range(1, 5):
         disk.submit(rid)
         disk.take(CallerLeft(rid))
     disk.settle()
-    assert sorted(disk.there) == ["3", "4"]
+    assert sorted(disk.on_disk) == ["3", "4"]
 
 
-# ---------------------------------------------------------------------------- a second run
+# ------------------------------------------------------------------------- repeated jobs
 
 
-def again(disk: Disk, kind: str) -> Verdict | None:
-    """What a submission of the id of an interrupted job is told at once."""
+def resubmit(disk: Disk, kind: str) -> Verdict | None:
+    """Submit the id of an interrupted job; return the verdict if it is answered at once."""
     cls = 1 if kind == BOOKING else 0
     effects = disk.take(Submitted(9, Submission("old", b"POST", b"/", b"", cls, kind, 2000.0)))
     answers = [e for e in effects if isinstance(e, Answer)]
     return answers[0].verdict if answers else None
 
 
-@pytest.mark.parametrize(("was", "ran", "now", "told"), [
+@pytest.mark.parametrize(("was", "ran", "now", "verdict"), [
     (BOOKING, True, BOOKING, Verdict.FAILED), (BOOKING, True, "match-list", Verdict.FAILED),
     ("match-list", True, BOOKING, Verdict.FAILED), ("match-list", True, "match-list", None),
     (BOOKING, False, BOOKING, None),
 ])
 def test_an_interrupted_booking_that_may_have_run_is_never_sent_again(
-    was: str, ran: bool, now: str, told: Verdict | None
+    was: str, ran: bool, now: str, verdict: Verdict | None
 ) -> None:
     disk = Disk()
     assert disk.state.jobs
     disk.state.jobs.restore(JobRecord("old", was, "interrupted", "s-1", ended=disk.now - 10, ran=ran))
-    assert again(disk, now) is told
-    assert bool([e for e in disk.all(OpenBranch) if e.rid == 9]) is (told is None)
+    assert resubmit(disk, now) is verdict
+    assert bool([e for e in disk.all(OpenBranch) if e.rid == 9]) is (verdict is None)
     found = disk.state.jobs.find(disk.now, "old")
-    assert found and found.state == ("waiting" if told is None else "interrupted")
-    assert disk.state.counters["requests.interrupted_id"] == (told is not None)
+    assert found and found.state == ("waiting" if verdict is None else "interrupted")
+    assert disk.state.counters["requests.interrupted_id"] == (verdict is not None)
 
 
-# ------------------------------------------------------------------------------ whatever comes
+# ----------------------------------------------------------------------- random sequences
 
 
 @pytest.mark.parametrize("promise", [True, False])
 @given(steps=st.lists(st.integers(0, 1999), max_size=120))
-def test_whatever_comes_no_record_denies_a_job_that_may_have_run(promise: bool, steps: list[int]) -> None:
+def test_random_sequences_leave_no_record_that_denies_a_possible_run(promise: bool, steps: list[int]) -> None:
     disk = Disk(promise, most=8)
     script = Script(disk)
     for n in steps:
@@ -300,24 +300,24 @@
         elif n % 4 < 2:
             disk.answer_disk()
         elif n % 4 == 2:
-            disk.answer_disk(well=False, there=n % 8 == 2)
+            disk.answer_disk(succeeds=False, on_disk=n % 8 == 2)
         else:
             disk.take(TryKeep())
-    disk.until(disk.now + 2000)  # with nothing more from the disk
+    disk.until(disk.now + 2000)  # no ticket completes any more
     answers = disk.all(Answer)
     assert sorted(a.rid for a in answers) == list(range(1, script.rid + 1))
     assert not disk.state.transactions and disk.state.counters["defects"] == 0
-    for _ in range(3):  # the disk is well again: it catches up
+    for _ in range(3):  # the disk works again, and the ledger catches up
         disk.settle()
         disk.take(TryKeep())
     jobs = disk.state.jobs
     assert jobs and disk.state.ledger and disk.state.ledger.up
-    for name, record in disk.there.items():
+    for name, record in disk.on_disk.items():
         found = jobs.find(disk.now, name)
         assert found is None or (found.state, found.outcome) == (record.state, record.outcome)
 
 
-def test_a_record_lives_as_long_as_its_job_may_and_what_it_is_kept_for() -> None:
+def test_a_record_is_kept_for_the_time_left_plus_the_retention_time() -> None:
     disk = Disk()
     disk.submit(1, cls=1, wait_ms=2010.0)
     keep = disk.waiting[0]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders by hand in the reducer and in the decision module: no socket, no clock."""
+"""Operators' orders in the reducer and the decision module, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     worker_of,
 )
 from flintfield.memory.orders import (
-    KEPT_MS, SCHEDULER, Book, OrderAsked, OrderRefused, Orders, OrdersHeard, OrderTaken, Word, merge, prune,
-    read_book, write_book,
+    RETENTION_MS, SCHEDULER, Book, OrderAsked, OrderRefused, Orders, OrdersHeard, OrderTaken, Word, merge,
+    prune, read_book, write_book,
 )
 from flintfield.memory.state import State
 from flintfield.memory.succession import IdsElsewhere, Stands, Succession
@@ -34,7 +34,7 @@
 
 
 class Operated(Memory):
-    """A memory that takes orders."""
+    """A reducer that handles operators' orders."""
 
     def __init__(self, *names: str, **settings: Any) -> None:
         self.orders = Orders()
@@ -55,7 +55,7 @@
 
 
 @given(WORDS, WORDS, WORDS)
-def test_books_agree_in_whatever_order_words_come(a: Book, b: Book, c: Book) -> None:
+def test_merging_words_in_any_order_gives_the_same_book(a: Book, b: Book, c: Book) -> None:
     books = []
     for order in ((a, b, c), (c, b, a), (b, a, c, a, b)):
         book: Book = {}
@@ -70,39 +70,39 @@
     '{"form":1,"orders":{"a":[true,true]}}', '{"form":1,"orders":{"a":[-1,true]}}',
     '{"form":1,"orders":{"a":["1",true]}}', '{"form":1,"orders":{"a":[NaN,true]}}',
 ])
-def test_a_book_that_can_not_be_read_is_a_value_error(text: str) -> None:
+def test_an_unreadable_book_raises_a_value_error(text: str) -> None:
     with pytest.raises(ValueError):
         read_book(text)
 
 
-def test_words_that_let_back_are_forgotten_in_time_and_those_that_keep_out_never() -> None:
-    book = {"a": Word(0.0, True), "b": Word(0.0, False), "c": Word(KEPT_MS, False)}
-    prune(book, KEPT_MS + 1)
+def test_only_words_that_readmit_a_subject_expire() -> None:
+    book = {"a": Word(0.0, True), "b": Word(0.0, False), "c": Word(RETENTION_MS, False)}
+    prune(book, RETENTION_MS + 1)
     assert set(book) == {"a", "c"}
 
 
-def test_an_order_that_comes_between_the_dial_and_the_first_byte_is_heeded() -> None:
+def test_an_order_between_connect_and_first_byte_is_obeyed() -> None:
     memory = Operated("s-1", "s-2")
     port = one(memory.submit(1, cls=1), OpenBranch).address[1]
     effects = memory.take(OrderAsked(1, f"s-{port}", True))
     assert one(effects, ShutHops).addresses == {("127.0.0.1", port)}
     effects = memory.take(BranchUp(1, 0))
     assert not [e for e in effects if isinstance(e, WriteBranch)]
-    assert one(effects, OpenBranch).address[1] == 3 - port  # it never ran, so it goes elsewhere
+    assert one(effects, OpenBranch).address[1] == 3 - port  # the job never ran, so it is sent elsewhere
 
 
-def test_who_is_known_and_what_an_order_answers() -> None:
+def test_answers_to_orders_on_known_and_unknown_subjects() -> None:
     memory = Operated("s-1")
     assert memory.order("s-9", True).status == memory.order("s-9", False).status == 404
     assert memory.order("s-1", False) == OrderTaken(1, False)
     assert memory.order("s-1", True).changed and not memory.order("s-1", True).changed
     memory.take(RouteNews(ListMode.FULL, 8, (), memory.state.calls))  # it leaves the list
-    assert memory.order("s-1", False).changed  # and is let back all the same
+    assert memory.order("s-1", False).changed  # and can be readmitted all the same
     assert memory.order("s-1", True).status == 404
     assert memory.order(SCHEDULER, True).changed and memory.state.drained
 
 
-def test_a_ban_outlives_a_worker_node_that_is_named_again() -> None:
+def test_an_offline_order_persists_when_the_node_is_listed_again() -> None:
     memory = Operated("s-1", "s-2")
     memory.order("s-1", True)
     for n, routes in ((8, listed("s-2")), (9, listed("s-1", "s-2", started_ms=900.0))):
@@ -113,18 +113,18 @@
     assert memory.state.dispatcher.avoided() == 1
 
 
-def test_with_all_out_jobs_that_wait_and_jobs_that_come_are_refused_at_once() -> None:
+def test_with_all_nodes_offline_waiting_and_new_jobs_are_refused_at_once() -> None:
     memory = Operated("s-1")
     memory.submit(1, cls=1)
     memory.take(BranchUp(1, 0))
-    memory.submit(2, cls=1)  # waits for room
+    memory.submit(2, cls=1)  # waits for a free slot
     effects = memory.take(OrderAsked(1, "s-1", True)) + memory.submit(3)
     assert {(e.rid, e.verdict) for e in effects if isinstance(e, Answer)} == {
         (2, Verdict.REFUSED), (3, Verdict.REFUSED)}
-    assert not memory.state.transactions[1].answered  # its job goes on
+    assert not memory.state.transactions[1].answered  # its job continues
 
 
-def test_ids_in_work_elsewhere_are_refused_and_told_while_somebody_listens() -> None:
+def test_ids_open_elsewhere_are_refused_and_own_ids_announced_while_linked() -> None:
     memory = Operated("s-1", "s-2", "s-3")
     assert not [e for e in memory.submit(1) if isinstance(e, JobOpened)]
     memory.take(Stands(True, False, False))
@@ -133,13 +133,13 @@
         i for i, e in enumerate(effects) if isinstance(e, OpenBranch))
     memory.take(IdsElsewhere(("3",), (), True))
     assert one(memory.submit(3), Answer).verdict is Verdict.FAILED
-    effects = memory.take(IdsElsewhere(("2",), (), True))  # an older process has it too: ours gives way
+    effects = memory.take(IdsElsewhere(("2",), (), True))  # an older process has it too: our copy fails
     assert one(effects, Answer).rid == 2 and JobClosed("2") in memory.effects
     memory.take(IdsElsewhere((), ("2", "3"), True))
     assert not memory.state.elsewhere and [e for e in memory.submit(4) if isinstance(e, OpenBranch)]
 
 
-def test_a_worker_that_is_let_back_is_cold_from_then_though_the_list_says_earlier() -> None:
+def test_a_readmitted_worker_is_cold_from_readmission_despite_an_earlier_start() -> None:
     world = World(settings(), [Entry(1), Entry(2)])
     world.feed(ByHand((1,)))
     assert {2} == {w for rid in range(1, 4) for w in sent_to(world.request(rid))}
@@ -153,7 +153,7 @@
     assert worker.born == back + 300
 
 
-def test_a_worker_that_is_out_is_not_probed_and_one_that_is_back_at_once() -> None:
+def test_an_excluded_worker_is_not_probed_and_a_readmitted_one_at_once() -> None:
     world = World(replace(settings(), reports_in_answers=False), [Entry(1), Entry(2)])
     world.feed(ByHand((1,)))
     assert 1 not in [p.worker for p in only(world.wait(3_000), Probe)]
@@ -161,7 +161,7 @@
     assert 1 in [p.worker for p in only(world.wait(300), Probe)]
 
 
-def test_the_cold_are_the_newer_process_s_alone_and_count_what_the_older_sent() -> None:
+def test_only_the_newer_process_uses_cold_budgets_including_what_the_older_sent() -> None:
     def world() -> World:
         return World(settings(), [Entry(1, started_ms=900.0)])
 
@@ -174,7 +174,7 @@
     assert sent_to(old.request(2, hint_ms=100.0)) == []
     old.end(1, 1, Outcome.OK, over=True)
     assert sent_to(old.wait(100)) == []
-    assert sent_to(old.feed(ByHand())) == [1]  # the other one has died
+    assert sent_to(old.feed(ByHand())) == [1]  # the newer process has died
     for raw in (None, [[1]], [[1, [[1]]]], [["a", []]], [[1, [["x", 1]]]]):
         with pytest.raises(ValueError):
             take_spent(new.dispatcher, raw)
