--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests share. Property tests try the same examples at every run."""
+"""Fixtures and settings shared by the tests. Property tests try the same examples in every run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 pytest_plugins = ["support.known_red"]
 
-# Guards against a verdict that depends on what else the machine does: how long an example takes is no fault.
+# No deadline: the duration of an example depends on the load of the machine and is not a fault.
 settings.register_profile("same", derandomize=True, deadline=None, max_examples=60,
                           suppress_health_check=[HealthCheck.too_slow])
 settings.load_profile("same")
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def begin(tmp_path: Path) -> Iterator[Start]:
-    """Start schedulers that end with the test."""
+    """Start schedulers that are killed at the end of the test."""
     started: list[Scheduler] = []
 
     def make(*hops: Hop, sockets: int = 1024, descriptors: int = 0, ini: str = "",
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests share: stand-ins, worlds and reference models."""
+"""Helpers shared by several tests: test doubles, simulated environments and reference models."""
--- a/tests/support/inside.py
+++ b/tests/support/inside.py
@@ -1,4 +1,4 @@
-"""The real program within the test's own process, with its log kept."""
+"""Runs the real program in the process of the test and records its log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Log:
-    """Keeps what is logged."""
+    """Records log lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -23,7 +23,7 @@
 
 
 async def played(program: Program, log: Log, play: Callable[[dict[str, int]], Awaitable[None]]) -> float:
-    """Run the program round the script; how long its end took."""
+    """Run the program while `play` runs, then stop it; return how many seconds the stop took."""
     program.listen()
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault, as KNOWN-RED.txt at the root lists them: they run, and must fail.
+"""Tests that fail because of a known fault, listed in KNOWN-RED.txt at the root: they run and must fail.
 
-A line is `TEST | CAUSE | ISSUE`, TEST as pytest names it. At most three stand there. One that passes fails
-the run, as does a line that is not well formed or names no test: it is to be taken out or mended then.
+A line is `TEST | CAUSE | ISSUE`, where TEST is the pytest node id. The file has at most three lines. The run
+fails if a listed test passes, or if a line is malformed or names no test; remove or correct the line then.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Known:
-    """A line of the file."""
+    """A parsed line of the file."""
 
     test: str
     cause: str
@@ -24,7 +24,7 @@
 
 
 def read(path: Path) -> list[Known]:
-    """The file's lines; a `UsageError` ends the run where they are not as they must be."""
+    """Parse the file; a `UsageError` ends the run if it is malformed."""
     if not path.exists():
         return []
     known: list[Known] = []
@@ -42,12 +42,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file once for each process of the run."""
+    """Read the file once in each process of the run."""
     config.stash[KNOWN] = read(config.rootpath / FILE)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Let the known ones run and fail, and nothing else."""
+    """Mark the known tests as expected failures, strictly."""
     by_name = {item.nodeid: item for item in items}
     for known in config.stash[KNOWN]:
         if item := by_name.get(known.test):
@@ -57,6 +57,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Name them, run by run."""
+    """Print the known failing tests in the summary of each run."""
     for known in config.stash[KNOWN]:
         terminalreporter.write_line(f"known red: {known.test}: {known.cause} ({known.issue})")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Whatever comes, in any order: one answer or a client that left, no branch after either, nothing kept."""
+"""Random messages: each transaction has one answer, no branch opens after it, and no state remains."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 EFFECTS = ("free", "guarded", "single_shot")
 
 
-class Watched:
-    """A reducer whose effects are held against what is owed, as they come."""
+class CheckedReducer:
+    """A reducer whose effects are checked against the invariants as they are returned."""
 
     def __init__(self, told: bool, second_copies: bool, cancel: bool) -> None:
         classes = [dict(CLASSES[i % 2], effect=e, window_ms=300, name=e) for i, e in enumerate(EFFECTS)]
@@ -30,30 +30,31 @@
         self.memory = Memory(3, told=told, request_classes=classes, limits=limits, family_info=family)
         self.rid, self.stopped = 0, False
         self.answered: set[int] = set()
-        self.out: dict[int, set[int]] = {}  # of each transaction the branches that are out
+        self.out: dict[int, set[int]] = {}  # open branches by rid
 
     def take(self, message: Message) -> None:
         if isinstance(message, BranchEnded):
             self.out.get(message.rid, set()).discard(message.branch)
-        self.look(self.memory.take(message))
+        self.check_effects(self.memory.take(message))
 
     def until(self, at: float) -> None:
         before = len(self.memory.effects)
         self.memory.until(at)
-        self.look(self.memory.effects[before:])
+        self.check_effects(self.memory.effects[before:])
 
-    def look(self, effects: list[Effect]) -> None:
+    def check_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, Answer):
                 assert effect.rid not in self.answered, "a second answer"
                 self.answered.add(effect.rid)
             elif isinstance(effect, OpenBranch):
-                assert effect.rid not in self.answered, "a branch after the answer, or for a client that left"
+                assert effect.rid not in self.answered, "a branch after the answer or the disconnect"
                 self.out.setdefault(effect.rid, set()).add(effect.branch)
                 assert self.copies or len(self.out[effect.rid]) == 1, "two attempts at once"
             elif isinstance(effect, WriteBranch):
-                assert effect.rid not in self.answered, "written after the answer, or for a client that left"
-                # Twice is right: a spare broke before its job was whole, and the branch dialled anew.
+                assert effect.rid not in self.answered, "written after the answer or the disconnect"
+                # A second write is valid: a reused connection broke before the whole job was sent, and the
+                # branch reconnected.
                 assert effect.branch in self.out[effect.rid], "written after the branch's end"
             elif isinstance(effect, DropBranch):
                 self.out.get(effect.rid, set()).discard(effect.branch)
@@ -88,7 +89,7 @@
             branch = opened[which % len(opened)]
             key = branch.rid, branch.branch
             if what == 10:
-                if branch.branch in self.out[branch.rid]:  # a branch that was dropped has no connection
+                if branch.branch in self.out[branch.rid]:  # a dropped branch has no connection
                     self.take(BranchUp(*key))
             elif what == 11:
                 self.take(BranchNoted(*key, which % 2 == 0, 0.5))
@@ -97,7 +98,7 @@
 
 
 def kept(memory: Memory) -> dict[str, Any]:
-    """Whatever stands in any table of one transaction's."""
+    """All non-empty tables that hold entries of single transactions."""
     state, module = memory.state, memory.state.dispatcher
     tables = {"transactions": state.transactions, "names": state.names, "jobs": module.jobs,
               "attempts": module.attempts, "held": module.held.sorts,
@@ -109,13 +110,13 @@
 
 @how(max_examples=400)
 @given(st.lists(st.integers(0, 1299), max_size=120), st.booleans(), st.booleans(), st.booleans())
-def test_whatever_comes_all_that_is_owed_is_settled_and_nothing_is_kept(
+def test_random_messages_settle_every_transaction_and_leave_no_state(
     steps: list[int], told: bool, second_copies: bool, cancel: bool
 ) -> None:
-    watched = Watched(told, second_copies, cancel)
+    checked = CheckedReducer(told, second_copies, cancel)
     for n in steps:
-        watched.step(n)
-    watched.until(watched.memory.now + 30_000.0)
-    assert watched.answered == set(range(1, watched.rid + 1))
-    assert kept(watched.memory) == {} and watched.memory.state.counters["defects"] == 0
-    assert len(watched.memory.state.timers) <= 2  # the module's tick, and its wake
+        checked.step(n)
+    checked.until(checked.memory.now + 30_000.0)
+    assert checked.answered == set(range(1, checked.rid + 1))
+    assert kept(checked.memory) == {} and checked.memory.state.counters["defects"] == 0
+    assert len(checked.memory.state.timers) <= 2  # the tick and the wake-up of the decision module
--- a/tests/test_jobstatus.py
+++ b/tests/test_jobstatus.py
@@ -1,4 +1,4 @@
-"""Job status: the table alone, through the reducer, and asked for on real sockets."""
+"""Job status: the job table alone, in the reducer, and queried over real sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return status, json.loads(body)
 
 
-def test_a_booking_held_by_a_stalling_next_hop_is_told_and_then_its_end(begin: Start) -> None:
+def test_a_running_booking_and_then_its_end_are_reported(begin: Start) -> None:
     scheduler = begin(hop := Hop(), ini="[jobstatus]\n")
     caller = scheduler.submit("social-booking", "9b1f%2f")
     job = hop.job()
@@ -49,11 +49,11 @@
     assert connection.getresponse().status == 405
 
 
-def test_without_its_section_there_is_no_such_page(begin: Start) -> None:
+def test_without_the_section_the_page_does_not_exist(begin: Start) -> None:
     assert ended(begin(Hop()).get("/jobs/77")) == (404, b"no such path\n")
 
 
-def test_a_full_table_of_live_jobs_serves_the_next_one_untracked(begin: Start) -> None:
+def test_a_job_that_finds_the_table_full_of_live_jobs_is_served_untracked(begin: Start) -> None:
     scheduler = begin(hop := Hop(), ini="[jobstatus]\nmax_entries = 1\n")
     first = scheduler.submit(name="a1")
     (job := hop.job()).say("started")
@@ -79,21 +79,21 @@
     ("[DEFAULT]\nkeep_ms = 1\n", "[DEFAULT]:"),
     ("keep_ms = 1\n", "flintfield.ini"),
 ])
-def test_a_faulty_line_of_the_operators_file_is_named_with_exit_code_2(
+def test_a_faulty_line_of_the_operators_file_is_reported_with_exit_code_2(
     ini: str, named: str, tmp_path: Path
 ) -> None:
     _, errors = (process := start(tmp_path, {}, ini=ini)).communicate(timeout=SOON)
     assert process.returncode == 2 and named in errors and errors.count("\n") == 1
 
 
-def test_a_missing_operators_file_is_named_with_exit_code_2(tmp_path: Path) -> None:
+def test_a_missing_operators_file_gives_exit_code_2(tmp_path: Path) -> None:
     assert main(["--ini", str(tmp_path / "none.ini")]) == 2
 
 
-# ------------------------------------------------------------- the table alone
+# -------------------------------------------------------------- the job table
 
 
-def test_an_ended_job_expires_by_the_time_passed_in_and_the_oldest_goes_first() -> None:
+def test_ended_jobs_expire_by_the_given_time_and_the_oldest_is_evicted_first() -> None:
     jobs = Jobs(100.0, 2)
     for at, name in ((0.0, "a"), (1.0, "b")):
         assert jobs.take(at, name, "k")
@@ -104,12 +104,12 @@
     assert jobs.find(119.0, "a") and jobs.find(120.0, "a") is None
     assert jobs.take(200.0, "e", "k") and jobs.count == 2
     jobs.end(210.0, "e", "served")
-    assert jobs.take(211.0, "e", "k")  # an id that comes again stands for the new job
+    assert jobs.take(211.0, "e", "k")  # a repeated id refers to the new job
     found = jobs.find(211.0, "e")
     assert found and (found.state, found.outcome) == ("waiting", None)
 
 
-# --------------------------------------------------------- through the reducer
+# ------------------------------------------------------------- in the reducer
 
 
 class Tracked(Memory):
@@ -125,7 +125,7 @@
         return (job.state, job.instance, job.share, job.outcome) if job else ()
 
 
-def test_a_job_is_waiting_again_once_its_branch_ended_and_a_new_branch_drops_the_old_share() -> None:
+def test_a_job_waits_again_after_its_branch_ended_and_a_new_branch_resets_the_share() -> None:
     memory = Tracked()
     memory.submit(1)
     assert memory.seen("1") == ("waiting", None, None, None)
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(("last", "outcome"), [
     (BranchEnded(1, 0, LOST), "failed"), (BranchEnded(1, 0, DONE), "served"), (CallerLeft(1), "failed"),
 ])
-def test_a_duplicate_of_an_open_id_leaves_its_entry_alone(last: Message, outcome: str) -> None:
+def test_a_duplicate_of_an_open_id_does_not_change_its_entry(last: Message, outcome: str) -> None:
     memory = Tracked()
     memory.submit(1, cls=1)
     memory.take(BranchUp(1, 0))
@@ -156,7 +156,7 @@
     assert memory.seen("1")[0::3] == ("ended", outcome)
 
 
-def test_a_job_without_an_entry_is_told_once_and_served_as_ever() -> None:
+def test_an_untracked_job_is_reported_once_and_served() -> None:
     memory = Tracked(most=1)
     memory.submit(1)
     memory.submit(2)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail."""
+"""Handling of KNOWN-RED.txt, the list of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_a_known_red_test_runs_fails_and_is_named(tmp_path: Path) -> None:
-    code, said = run(tmp_path, LINE.format("test_red"))
-    assert code == 0 and "2 passed, 1 xfailed" in said
-    assert "known red: test_it.py::test_red: a fault (issue 1)" in said
+def test_a_known_failing_test_runs_and_is_reported(tmp_path: Path) -> None:
+    code, output = run(tmp_path, LINE.format("test_red"))
+    assert code == 0 and "2 passed, 1 xfailed" in output
+    assert "known red: test_it.py::test_red: a fault (issue 1)" in output
 
 
-@pytest.mark.parametrize(("known", "word"), [
+@pytest.mark.parametrize(("known", "expected"), [
     ("", "1 failed, 2 passed"),
     (LINE.format("test_green"), "XPASS(strict)"),
     (LINE.format("test_gone"), "found no test test_it.py::test_gone"),
@@ -39,11 +39,11 @@
     (LINE.format("test_red") * 2, "each test once"),
     ("".join(LINE.format(n) for n in ("a", "b", "c", "d")), "found 4 lines, expected at most 3"),
 ])
-def test_all_else_fails_the_run(tmp_path: Path, known: str, word: str) -> None:
-    code, said = run(tmp_path, known)
-    assert code != 0 and word in said
+def test_malformed_lists_and_other_results_fail_the_run(tmp_path: Path, known: str, expected: str) -> None:
+    code, output = run(tmp_path, known)
+    assert code != 0 and expected in output
 
 
-def test_a_red_test_that_is_not_known_fails_beside_one_that_is(tmp_path: Path) -> None:
-    code, said = run(tmp_path, LINE.format("test_red"), TESTS + "\ndef test_new():\n    assert 0\n")
-    assert code == 1 and "1 failed, 2 passed, 1 xfailed" in said
+def test_an_unlisted_failing_test_still_fails_the_run(tmp_path: Path) -> None:
+    code, output = run(tmp_path, LINE.format("test_red"), TESTS + "\ndef test_new():\n    assert 0\n")
+    assert code == 1 and "1 failed, 2 passed, 1 xfailed" in output
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers: a file imports only from its own layer or from below, within functions as at its head."""
+"""A module imports only from its own layer or lower ones, at module level and within functions alike."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from flintfield.lifecycle.units import UNITS, find_feature
 from peers import ROOT
 
-# Bottom to top. A package stands for all below it.
+# From bottom to top. A package includes all its subpackages.
 LAYERS = (
-    ("flintfield", "flintfield.decision"),  # the package's own face is the module
+    ("flintfield", "flintfield.decision"),  # the top-level package only exports the decision module
     ("flintfield.base",),
     ("flintfield.runtime", "flintfield.transport"),
     ("flintfield.store",),
@@ -35,7 +35,7 @@
 
 
 def height(module: str) -> int | None:
-    """The height of a module's layer; None for what is not ours."""
+    """The height of a module's layer; None for modules of other projects."""
     parts = module.split(".")
     if parts[0] not in ("flintfield", "benchmarks"):
         return None
@@ -52,7 +52,7 @@
 
 
 def imports(module: str, path: Path, text: str | None = None) -> Iterator[tuple[int, str]]:
-    """The line and the name of each module that is imported, wherever in the file that is done."""
+    """The line and the name of each imported module, anywhere in the file."""
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     for node in ast.walk(ast.parse(text or path.read_text(), str(path))):
         if isinstance(node, ast.Import):
@@ -60,7 +60,7 @@
         elif isinstance(node, ast.ImportFrom):
             above = package.split(".")[:len(package.split(".")) - node.level + 1] if node.level else []
             base = ".".join([*above, *([node.module] if node.module else [])])
-            for alias in node.names:  # `from flintfield import cli` names a module too
+            for alias in node.names:  # `from flintfield import cli` imports a module too
                 whole = f"{base}.{alias.name}"
                 is_module = whole in ALL
                 yield node.lineno, whole if is_module else base
@@ -69,21 +69,21 @@
 ALL = {name for name, _ in modules()}
 
 
-def arrows_up(module: str, path: Path, text: str | None = None) -> list[str]:
+def imports_from_above(module: str, path: Path, text: str | None = None) -> list[str]:
     own = height(module)
     assert own is not None
     found = []
     for line, other in imports(module, path, text):
         top = height(other)
         if top is not None and top > own:
-            found.append(f"{path.relative_to(ROOT)}:{line} imports {other}, which stands above it")
+            found.append(f"{path.relative_to(ROOT)}:{line} imports {other}, which is in a higher layer")
         elif module.startswith(DECISION) and top is not None and not other.startswith(DECISION):
-            found.append(f"{path.relative_to(ROOT)}:{line} imports {other}: the module imports nothing else")
+            found.append(f"{path.relative_to(ROOT)}:{line} imports {other}: not a decision module")
     return found
 
 
-def test_every_module_has_a_layer_and_no_import_runs_up() -> None:
-    assert [arrow for module, path in modules() for arrow in arrows_up(module, path)] == []
+def test_every_module_has_a_layer_and_imports_nothing_from_a_higher_one() -> None:
+    assert [violation for module, path in modules() for violation in imports_from_above(module, path)] == []
 
 
 @pytest.mark.parametrize(("module", "text"), [
@@ -102,18 +102,18 @@
     ("flintfield.agent.x", "from flintfield.simulation import network"),
     ("flintfield.simulation.x", "from flintfield.programs import agent"),
 ])
-def test_an_import_that_runs_up_is_found(module: str, text: str) -> None:
+def test_an_import_from_a_higher_layer_is_found(module: str, text: str) -> None:
     path = ROOT / (module.replace(".", "/") + ".py")
-    assert len(arrows_up(module, path, text)) == 1
+    assert len(imports_from_above(module, path, text)) == 1
 
 
-def test_each_place_in_the_list_of_units_declares_the_section_that_names_it() -> None:
+def test_each_listed_feature_declares_the_section_that_it_is_listed_under() -> None:
     for name, place in UNITS.items():
         assert name in [section.name for section in find_feature(place).sections]
 
 
-# Without circles and without a file above MOST_LINES: a package that once is, stays so.
-MENDED = (
+# Packages without import cycles and without a file longer than MAX_LINES. Packages are only added here.
+CLEAN_PACKAGES = (
     "flintfield.decision", "flintfield.base", "flintfield.transport", "flintfield.jobs",
     "flintfield.placement", "flintfield.memory", "flintfield.queues", "flintfield.membership",
     "flintfield.planning",
@@ -127,20 +127,20 @@
     "flintfield.lab.scenario", "flintfield.lab.virtual",
     "flintfield.coordination", "flintfield.runtime", "flintfield.simulation",
 )
-# Without circles, with files that are still to be split.
-WITHOUT_CIRCLES = (
-    *MENDED, "flintfield.store", "flintfield.wire", "flintfield.units",
+# Packages without import cycles; some have files that are still too long.
+WITHOUT_CYCLES = (
+    *CLEAN_PACKAGES, "flintfield.store", "flintfield.wire", "flintfield.units",
     "flintfield.lifecycle", "flintfield.lab.membership", "flintfield.lab.sharing", "flintfield.lab.sockets",
     "flintfield.lab.world", "benchmarks",
 )
-MOST_LINES = 300  # what one sitting reads
+MAX_LINES = 300  # longer files are too long to read at once
 
 
-def circles(package: str) -> list[list[str]]:
-    """The files of a package that import one another in a circle, those for type checkers included
+def import_cycles(package: str) -> list[list[str]]:
+    """The import cycles among the files of a package, including imports for type checkers
     (Tarjan 1972, "Depth-first search and linear graph algorithms")."""
-    arrows = {m: {o for _, o in imports(m, p) if o.startswith(package) and o != m}
-              for m, p in modules() if m.startswith(package)}
+    edges = {m: {o for _, o in imports(m, p) if o.startswith(package) and o != m}
+             for m, p in modules() if m.startswith(package)}
     number: dict[str, int] = {}
     lowest: dict[str, int] = {}
     path: list[str] = []
@@ -149,29 +149,29 @@
     def visit(module: str) -> None:
         number[module] = lowest[module] = len(number)
         path.append(module)
-        for other in sorted(arrows[module] & arrows.keys()):
+        for other in sorted(edges[module] & edges.keys()):
             if other not in number:
                 visit(other)
             if other in path:
                 lowest[module] = min(lowest[module], lowest[other])
         if lowest[module] == number[module]:
             at = path.index(module)
-            ring, path[at:] = path[at:], []
-            if len(ring) > 1:
-                found.append(sorted(ring))
+            cycle, path[at:] = path[at:], []
+            if len(cycle) > 1:
+                found.append(sorted(cycle))
 
-    for module in arrows:
+    for module in edges:
         if module not in number:
             visit(module)
     return found
 
 
-@pytest.mark.parametrize("package", WITHOUT_CIRCLES)
-def test_no_files_of_a_package_import_one_another_in_a_circle(package: str) -> None:
-    assert circles(package) == []
+@pytest.mark.parametrize("package", WITHOUT_CYCLES)
+def test_a_package_has_no_import_cycles(package: str) -> None:
+    assert import_cycles(package) == []
 
 
-@pytest.mark.parametrize("package", MENDED)
-def test_each_file_can_be_read_in_one_sitting(package: str) -> None:
+@pytest.mark.parametrize("package", CLEAN_PACKAGES)
+def test_no_file_exceeds_the_line_limit(package: str) -> None:
     lines = {m: len(p.read_text().splitlines()) for m, p in modules() if m.startswith(package)}
-    assert [m for m, count in lines.items() if count > MOST_LINES] == []
+    assert [m for m, count in lines.items() if count > MAX_LINES] == []
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The program at the limits of what it holds: floods, overload, thousands of open transactions and legs."""
+"""The program at its limits: floods, overload, and thousands of open transactions and connections."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         time.sleep(0.1)
 
 
-def test_one_callers_flood_does_not_hold_up_another() -> None:
+def test_a_flood_from_one_caller_does_not_delay_another() -> None:
     with Stage() as stage:
         target = stage.scheduler(stage.nodes(nodes=10, slots=64))
         with stage.callers(target, connections=300, seconds=2.5, source="127.0.0.2") as many:
@@ -39,18 +39,18 @@
     assert quiet["latency_us"]["p50"] < flood["latency_us"]["p50"] / 3
 
 
-def test_beyond_what_may_be_held_a_refusal_is_written_where_the_request_was_read() -> None:
+def test_above_the_held_limit_requests_are_refused_cheaply() -> None:
     limits = SETTINGS["limits"] | {"most_held": 50}
     with Stage() as stage:
         target = stage.scheduler(stage.nodes(nodes=10, how="hold"), limits=limits)
         with stage.callers(target, connections=50, seconds=60, wait_ms=60_000):
             refused = stage.call(target, part=0.85, connections=4, seconds=0.5, warm_up=0.2, seed=2)
     assert refused["statuses"].keys() == {"503"}
-    assert refused["cpu_us"] < 1_000  # a job that is served takes several times as long
+    assert refused["cpu_us"] < 1_000  # a served job costs several times as much
 
 
 @pytest.mark.slow  # 40 s
-def test_thousands_of_legs_and_transactions_are_held_in_a_few_kib_each() -> None:
+def test_thousands_of_connections_and_transactions_take_a_few_kib_each() -> None:
     with Stage() as stage:
         target = stage.scheduler(stage.nodes(nodes=10, how="hold", slots=1_024), sockets=40_000)
         before = target.resident_kib
@@ -61,10 +61,10 @@
                 held = target.resident_kib - before
                 assert counter(target, "answers.served.match-list") == 0
         assert held < 5_000 * 3 + 4_000 * 6
-    # 10,000 open transactions need more descriptors than tests may have: the rest is shown below.
+    # 10,000 open transactions need more descriptors than tests may use; the next test covers the reducer.
 
 
-def test_ten_thousand_open_transactions_take_bounded_memory_and_all_are_let_go() -> None:
+def test_ten_thousand_open_transactions_take_bounded_memory_and_are_all_freed() -> None:
     memory = Memory(1)
     memory.state.most_held = 20_000
     tracemalloc.start()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The reducer alone: no socket, no clock."""
+"""The reducer alone, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Memory:
-    """A state and the effects that its messages called for."""
+    """A state, and the effects that the reducer returned for its messages."""
 
     def __init__(self, hops: int = 2, prepare: Callable[[State], None] = lambda _: None, told: bool = True,
                  **settings: Any) -> None:
@@ -45,7 +45,7 @@
         self.now, self.effects = 1000.0, list[Effect]()
         self.routes = tuple(route(n) for n in range(1, hops + 1))
         self.take(RouteNews(ListMode.CACHED, 7, self.routes))
-        if told:  # discovery has answered: the list is as it was
+        if told:  # discovery has answered with no changes
             self.effects = self.take(RouteNews(ListMode.DELTA, 7, (), 1))[:]
 
     def take(self, message: Message) -> list[Effect]:
@@ -84,14 +84,14 @@
 
 
 @pytest.mark.parametrize("change", [Lifecycle.DRAINING, Lifecycle.GONE])
-def test_a_dial_that_outlasts_the_news_of_a_drain_writes_nothing(change: Lifecycle) -> None:
+def test_nothing_is_written_if_the_next_hop_drains_during_the_connect(change: Lifecycle) -> None:
     memory = Memory()
     branch = only(memory.submit(1, cls=1), OpenBranch)
     told = branch.address[1]
     memory.take(RouteNews(ListMode.DELTA, 8, (route(told, change),), memory.state.calls))
     effects = memory.take(BranchUp(1, 0))
     assert not [e for e in effects if isinstance(e, WriteBranch)]
-    again = only(effects, OpenBranch)  # it never ran, so it goes elsewhere
+    again = only(effects, OpenBranch)  # the job never ran, so it is sent elsewhere
     assert again.address[1] == 3 - told
     assert only(memory.take(BranchUp(1, 1)), WriteBranch).branch == 1
 
@@ -107,13 +107,13 @@
     (End.BROKEN, Reach.SENT, Outcome.RESET),
     (End.BROKEN, Reach.ANSWERED, Outcome.RESET),
 ])
-def test_how_far_an_attempt_had_come_decides_what_its_end_proves(
+def test_the_progress_of_an_attempt_decides_its_outcome(
     end: End, reach: Reach, outcome: Outcome
 ) -> None:
     assert outcome_of(Ending(end, reach)) is outcome
 
 
-def test_one_answer_though_word_comes_late_or_twice() -> None:
+def test_late_and_repeated_messages_cause_no_second_answer() -> None:
     memory = Memory()
     memory.submit(1)
     memory.take(BranchUp(1, 0))
@@ -124,7 +124,7 @@
     assert not memory.state.transactions and not memory.state.names
 
 
-def test_a_tick_that_raises_is_told_and_is_not_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tick_that_raises_is_counted_and_the_next_ones_follow(monkeypatch: pytest.MonkeyPatch) -> None:
     memory = Memory()
     ticks: list[float] = []
 
@@ -138,7 +138,7 @@
     assert memory.state.counters["defects"] == len(ticks)
 
 
-def test_an_action_that_can_not_be_carried_out_leaves_the_others_alone() -> None:
+def test_a_failing_action_does_not_prevent_the_others() -> None:
     memory, ticks = Memory(), list[float]()
     memory.submit(1)
     dispatcher = memory.state.dispatcher
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("broken", ["_request", "_timer"])
-def test_a_caller_has_its_answer_in_time_though_decisions_fail(
+def test_a_caller_is_answered_in_time_if_the_decision_module_fails(
     monkeypatch: pytest.MonkeyPatch, broken: str
 ) -> None:
     def fail(*_: object) -> None:
@@ -173,7 +173,7 @@
     assert not memory.state.transactions
 
 
-def test_a_branch_is_dropped_before_another_of_its_transaction_opens() -> None:
+def test_a_branch_is_dropped_before_the_answer() -> None:
     memory = Memory()
     memory.submit(1)
     memory.take(BranchUp(1, 0))
@@ -182,7 +182,7 @@
     assert kinds == [OpenBranch, DropBranch, Answer]
 
 
-def test_a_request_that_comes_with_no_time_left_is_refused_at_once() -> None:
+def test_a_request_without_enough_time_is_refused_at_once() -> None:
     memory = Memory()
     for wait in (0.0, 5.0, 700.0):
         memory.submit(int(wait), wait_ms=wait)
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(("left", "close"), [(2000.0, False), (100.0, True)])
-def test_who_is_served_by_a_program_that_stops_may_stay_to_the_last(left: float, close: bool) -> None:
+def test_a_stopping_program_keeps_served_connections_until_the_final_phase(left: float, close: bool) -> None:
     memory = Memory()
     memory.submit(1)
     memory.take(BranchUp(1, 0))
@@ -201,10 +201,10 @@
     assert refused.verdict is Verdict.REFUSED and refused.close
     memory.submit(3, wait_ms=8000.0)
     memory.until(memory.now + left)
-    assert not memory.state.transactions  # by the time that was told
+    assert not memory.state.transactions  # settled by the given time
 
 
-def test_a_watch_goes_on_at_once_and_one_that_failed_is_made_anew() -> None:
+def test_a_watch_continues_at_once_and_a_failed_one_is_retried() -> None:
     memory = Memory()
     assert [c.generation for c in memory.all(CallDiscovery)] == [7]
     news = RouteNews(ListMode.DELTA, 9, (), memory.state.calls)
@@ -212,10 +212,10 @@
     failed = RouteCallFailed("cut", memory.state.calls)
     assert not [e for e in memory.take(failed) if isinstance(e, CallDiscovery)]
     memory.until(memory.now + 2000)
-    assert [c.generation for c in memory.all(CallDiscovery)] == [7, 9, None]  # it may have started anew
+    assert [c.generation for c in memory.all(CallDiscovery)] == [7, 9, None]  # discovery may have restarted
 
 
-def test_a_busy_discovery_is_asked_for_changes_alone_and_one_that_counts_anew_for_all() -> None:
+def test_a_busy_discovery_is_asked_for_changes_and_a_restarted_one_for_all() -> None:
     memory = Memory()
     memory.take(RouteCallFailed("answered 503", memory.state.calls, busy=True))
     memory.until(memory.now + 3000)
@@ -224,7 +224,7 @@
     assert only(memory.take(anew), CallDiscovery).generation is None and 9 not in memory.state.routes
 
 
-def test_a_moved_discovery_is_asked_at_once_and_the_old_ones_word_counts_no_more() -> None:
+def test_a_moved_discovery_is_called_at_once_and_late_answers_are_ignored() -> None:
     memory = Memory()
     (first,) = memory.all(CallDiscovery)
     for n, address in enumerate((NEW, OLD, NEW)):  # several in a row
@@ -239,7 +239,7 @@
     assert again == CallDiscovery(first.call + 4, NEW, 3) and list(memory.state.routes) == [2]
 
 
-def test_a_whole_list_takes_away_what_it_does_not_name() -> None:
+def test_a_whole_list_removes_unlisted_next_hops() -> None:
     memory = Memory()
     memory.take(RouteNews(ListMode.FULL, 9, (route(2),), memory.state.calls))
     assert list(memory.state.routes) == [2]
@@ -247,7 +247,7 @@
 
 
 class Script:
-    """Plays a next hop and a caller by a list of numbers: whatever comes, one answer a transaction."""
+    """Simulates a next hop and a caller from a list of numbers, for tests with random messages."""
 
     ENDS = (DONE, Ending(End.FAILED, Reach.ANSWERED), Ending(End.DECLINED, Reach.ANSWERED),
             Ending(End.LOST, Reach.ANSWERED), Ending(End.BROKEN, Reach.DIALLING),
@@ -277,7 +277,7 @@
 
 
 @given(st.lists(st.integers(0, 999), max_size=80))
-def test_whatever_comes_each_transaction_has_one_answer_and_no_two_branches_at_once(steps: list[int]) -> None:
+def test_random_messages_give_one_answer_and_no_concurrent_branches(steps: list[int]) -> None:
     script = Script()
     for n in steps:
         script.step(n)
@@ -289,10 +289,10 @@
     assert not memory.state.transactions and memory.state.counters["defects"] == 0
 
 
-# ------------------------------------------------------------------ small readers
+# ------------------------------------------------------------- log and parsers
 
 
-def test_a_defect_is_one_line_with_its_traceback(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_defect_is_logged_as_one_line_with_its_traceback(capsys: pytest.CaptureFixture[str]) -> None:
     log = make_log(name="n1")
     try:
         raise RuntimeError("on purpose")
@@ -303,7 +303,7 @@
     assert "Traceback" in line["exception"]
 
 
-def test_a_watch_on_a_silent_connection_fails_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_on_a_silent_connection_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "WAIT_MS", 20)
     monkeypatch.setattr(discovery, "ANSWER_MS", 20.0)
     told: list[Message] = []
@@ -319,7 +319,7 @@
     assert told == [RouteCallFailed("no answer in time", 4, silent=True)]
 
 
-def test_a_next_hop_has_one_number_wherever_and_whenever_it_is_seen() -> None:
+def test_the_number_of_a_next_hop_does_not_depend_on_place_or_time() -> None:
     line = {"instanceId": "s-5be2a07c", "hostPort": "127.0.0.1:9000", "zone": "b", "machineType": "m",
             "lifecycle": "in_service", "startedAtMs": 0}
     reader = Reader(["a", "b"], ["m"])
@@ -333,7 +333,7 @@
     "TEXT x0=3, q=1.5, rate=9", "x0=3,q=1.5,rif=no", json.dumps({"x0": 3, "q": 1.5, "rate": 9}),
     json.dumps({"load": {"x0": "3", "q": 1.5, "rate": None}}),
 ])
-def test_a_load_report_is_read_in_each_of_its_forms(text: str) -> None:
+def test_a_load_report_is_parsed_in_each_format(text: str) -> None:
     report = read_load(text.encode(), {"x0": "free", "q": "queue", "rif": "inflight"})
     assert report is not None
     assert (report.free, report.queue, report.inflight) == (3.0, 1.5, None)
@@ -347,7 +347,9 @@
     ({"weight": "heavy", "cell": "x", "startedAtMs": -1, "zone": ["b"]}, Lifecycle.READY),
     ({"weight": float("nan"), "startedAtMs": float("inf"), "machineType": None}, Lifecycle.READY),
 ])
-def test_one_odd_line_leaves_the_others_of_a_list_alone(odd: dict[str, Any], state: Lifecycle | None) -> None:
+def test_a_malformed_line_does_not_affect_the_others_of_a_list(
+    odd: dict[str, Any], state: Lifecycle | None
+) -> None:
     line = {"instanceId": "s-1", "hostPort": "127.0.0.1:9000", "lifecycle": "in_service"}
     news = Reader(["a", "b"], ["m"]).news({"generation": 1, "reset": True, "instances": [
         line | odd, "no line at all", line | {"instanceId": "s-2"}]})
@@ -359,5 +361,5 @@
 
 @pytest.mark.parametrize("text", ["", "TEXT", "{", "[1]", "x0=nan", "\xff=1",
                                   "x0=1e9", "x0=-1", "x0=inf", "q=1e300"])
-def test_a_report_that_cannot_be_read_is_none(text: str) -> None:
+def test_an_unreadable_report_is_none(text: str) -> None:
     assert read_load(text.encode("latin-1"), {"x0": "free", "q": "queue"}) is None
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The second address, on real sockets beside jobs: calls, figures, worker nodes out by hand, draining."""
+"""The admin address over real sockets while jobs run: calls, figures, worker nodes offline, draining."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from peers import SOON, Hop, Scheduler, Start, ended, start, until
 
 Begin = Callable[..., Scheduler]
-WITHOUT = """import sys, flintfield.lifecycle.start
+LIST_MODULES = """import sys, flintfield.lifecycle.start
 print([m for m in sys.modules if m.startswith('flintfield') and ('admin' in m or 'operations' in m
       or 'orders' in m or 'figures' in m or 'handover' in m)])"""
 
 
 @pytest.fixture
 def operated(begin: Start, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Begin]:
-    """Start a scheduler with a second address."""
+    """Start schedulers with an admin address."""
     (tmp_path / "kept").mkdir()
     monkeypatch.setenv("TMPDIR", str(tmp_path / "kept"))
     monkeypatch.setenv("LB_ADMIN", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 
 
 def serve(hop: Hop) -> None:
-    """Serve all that comes from now on."""
+    """Serve all jobs from now on, in a thread."""
     def work() -> None:
         while True:
             hop.jobs.get().say("done", result="seat")
@@ -73,19 +73,19 @@
     ("GET", "worker-nodes/s-1/offline", 405), ("HEAD", "ready", 405),
     ("PUT", "worker-nodes/" + "x" * 100_000, 431),
 ])
-def test_calls_and_their_wrong_forms(operated: Begin, method: str, path: str, status: int) -> None:
+def test_valid_and_invalid_calls(operated: Begin, method: str, path: str, status: int) -> None:
     scheduler = operated(Hop())
     assert call(scheduler, path, method)[0] == status
     assert call(scheduler, path, method, b"a body nobody asked for")[0] == status
-    assert scheduler.get("/control/ready").status == 404  # the main address is as it was
+    assert scheduler.get("/control/ready").status == 404  # the main address does not serve these calls
 
 
-def test_without_an_address_there_is_none(begin: Start, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_an_admin_address_nothing_is_loaded(begin: Start, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("LB_ADMIN", raising=False)
     scheduler = begin(Hop())
     assert "admin_port" not in scheduler.ports
-    # One listening socket, and nothing of the feature in the process.
-    loaded = subprocess.run([sys.executable, "-c", WITHOUT], capture_output=True, check=True).stdout
+    # No second listening socket, and no module of the feature is imported.
+    loaded = subprocess.run([sys.executable, "-c", LIST_MODULES], capture_output=True, check=True).stdout
     assert loaded.strip() == b"[]"
 
 
@@ -93,8 +93,9 @@
     ("LB_ADMIN", "here", "admin: found 'here', expected host:port"),
     ("LB_ACCEPT_FD", "three", "LB_ACCEPT_FD: found 'three', expected the number of a descriptor"),
 ])
-def test_a_faulty_variable_is_named(begin: Start, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str,
-                                    value: str, word: str) -> None:
+def test_a_faulty_environment_variable_is_reported(
+    begin: Start, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, value: str, word: str
+) -> None:
     good = begin(Hop())
     monkeypatch.setenv(name, value)
     process = start(tmp_path, good.config)
@@ -102,7 +103,7 @@
     assert process.returncode == 2 and word in error and error.count("\n") == 1
 
 
-def test_figures_are_what_the_callers_saw(operated: Begin) -> None:
+def test_figures_match_what_callers_received(operated: Begin) -> None:
     scheduler = operated(hop := Hop())
     connection = scheduler.connect()
     for cls, how in (("match-list", "done"), ("match-list", "done"), ("social-booking", "done"),
@@ -110,7 +111,7 @@
         scheduler.submit(cls, on=connection)
         hop.job().say(how, result="seat")
         ended(connection.getresponse())
-    scheduler.submit("match-list", wait="1m", on=connection)  # no time is left: refused before it is routed
+    scheduler.submit("match-list", wait="1m", on=connection)  # too little time left: refused unrouted
     assert ended(connection.getresponse())[0] in (503, 500)
     running = scheduler.submit("social-booking")
     job = hop.job()
@@ -130,7 +131,7 @@
     assert counters["branches.whole"] == told["attempts"]
 
 
-def test_silent_callers_and_pieces_do_not_keep_others_out(operated: Begin) -> None:
+def test_silent_and_slow_clients_do_not_block_others(operated: Begin) -> None:
     scheduler = operated(hop := Hop())
     serve(hop)
     address = ("127.0.0.1", scheduler.ports["admin_port"])
@@ -150,17 +151,17 @@
     assert pieces.makefile("rb").read().startswith(b"HTTP/1.1 200")
     gone = socket.create_connection(address)
     gone.sendall(b"PUT /control/worker-nodes/s-1/online HTTP/1.1\r\nHost: a\r\n\r\n")
-    gone.close()  # before its answer: the order stands
+    gone.close()  # before its answer: the order is in force
     assert until(lambda: figures(scheduler)["worker_nodes_excluded"] == 0)
-    for sock in silent[1::2]:  # those that said nothing are closed, by now or within their 2 s
+    for sock in silent[1::2]:  # clients that sent nothing are closed within 2 s
         assert sock.recv(1) == b""
     assert "defects" not in scheduler.counters()
 
 
-# ------------------------------------------------------ worker nodes out by hand
+# --------------------------------------------------------- worker nodes offline
 
 
-def test_a_ban_outlives_the_list_and_the_return_is_cold(operated: Begin) -> None:
+def test_an_offline_order_persists_over_list_changes_and_the_node_returns_cold(operated: Begin) -> None:
     scheduler = operated(one := Hop("s-1"), two := Hop("s-2"), rules={
         "drain_grace_ms": 400, "ask_within_ms": 2000, "cold_from": 0.3, "ramp_time_ms": 60_000,
         "tip_multiple": 3, "fall_ms": 1000})
@@ -176,7 +177,7 @@
     began = time.monotonic()
     answer = scheduler.submit().getresponse()
     assert answer.status == 503 and answer.headers["Retry-After"] and time.monotonic() - began < 1.0
-    assert call(scheduler, "worker-nodes/s-1/online")[0] == 200  # once is enough
+    assert call(scheduler, "worker-nodes/s-1/online")[0] == 200  # one call suffices
     caller = scheduler.submit()
     one.job().say("done", result="back")
     assert ended(caller.getresponse()) == (200, b"back")
@@ -188,7 +189,7 @@
     assert all(ended(job.getresponse())[0] in (200, 503) for job in jobs)
 
 
-def test_jobs_at_a_banned_node_end_and_no_connection_waits_there(operated: Begin) -> None:
+def test_jobs_at_an_offline_node_finish_and_idle_connections_are_closed(operated: Begin) -> None:
     scheduler = operated(hop := Hop())
     caller = scheduler.submit("match-list")
     job = hop.job()
@@ -197,14 +198,14 @@
         hop.probe_ports.get()
     job.say("done", result="list")
     assert ended(caller.getresponse()) == (200, b"list")
-    assert until(lambda: job.peer.connection.fileno() < 0)  # its server saw the end of it
+    assert until(lambda: job.peer.connection.fileno() < 0)  # the next hop saw the connection close
     time.sleep(1.2)
-    assert hop.probe_ports.qsize() <= 1  # one may have been out
+    assert hop.probe_ports.qsize() <= 1  # one probe may have been in flight
 
 
 @pytest.mark.parametrize("damage", [
     b"", b"{", b'{"form":1,"orders":{"s-1":[1,2]}}', b'{"form":2,"orders":{}}', b"\xff\xfe", b"[" * 100_000])
-def test_a_damaged_file_of_orders_is_told_and_stops_nothing(
+def test_a_damaged_orders_file_is_reported_and_does_not_prevent_the_start(
     operated: Begin, tmp_path: Path, damage: bytes
 ) -> None:
     (tmp_path / "kept" / "flintfield-n1.orders").write_bytes(damage)
@@ -216,7 +217,7 @@
     assert "orders not read" in scheduler.process.communicate()[1]
 
 
-def test_orders_last_over_a_start_where_the_folder_stays(operated: Begin, tmp_path: Path) -> None:
+def test_orders_persist_over_a_restart_if_the_folder_remains(operated: Begin, tmp_path: Path) -> None:
     scheduler = operated(Hop())
     assert call(scheduler, "worker-nodes/s-1/offline")[0] == 200
     assert call(scheduler, "out-of-service")[0] == 200
@@ -233,7 +234,7 @@
         process.communicate()
 
 
-def test_an_order_that_can_not_be_kept_is_in_force_and_a_no(operated: Begin, tmp_path: Path) -> None:
+def test_an_order_that_is_not_persisted_is_in_force_and_answered_500(operated: Begin, tmp_path: Path) -> None:
     scheduler = operated(Hop())
     (tmp_path / "kept" / "flintfield-n1.orders").mkdir()
     status, word = call(scheduler, "worker-nodes/s-1/offline")
@@ -246,36 +247,36 @@
 # ---------------------------------------------------------------------- draining
 
 
-def test_a_drain_empties_the_scheduler_without_a_loss(operated: Begin) -> None:
+def test_a_drain_empties_the_scheduler_without_losing_jobs(operated: Begin) -> None:
     scheduler = operated(hop := Hop())
     idle, busy, late = scheduler.connect(), scheduler.connect(), scheduler.connect()
     for connection in (idle, late):
         serve_one(scheduler, hop, connection)
     scheduler.submit(on=busy)
     job = hop.job()
-    job.say("started")  # one that has not is given up after some 3 s
+    job.say("started")  # a job that has not started is given up after about 3 s
     assert call(scheduler, "out-of-service")[0] == 200
     assert call(scheduler, "out-of-service") == (200, "in force already\n")
     assert scheduler.get("/ready").status == 503 and call(scheduler, "ready", "GET")[0] == 200
-    scheduler.submit(on=late)  # one that comes on an open connection is served, and sent away
+    scheduler.submit(on=late)  # a job on an open connection is served, then the connection is closed
     hop.job().say("done", result="y")
     answer = late.getresponse()
     assert answer.status == 200 and answer.headers["Connection"] == "close"
     assert answer.read() == b"y"
     idle.sock.settimeout(2.0)
-    assert idle.sock.recv(1) == b""  # an end, no reset
+    assert idle.sock.recv(1) == b""  # closed, not reset
     job.say("done", result="z")
     answer = busy.getresponse()
     assert (answer.status, answer.read(), answer.headers["Connection"]) == (200, b"z", "close")
     assert call(scheduler, "in-service")[0] == 200
     assert scheduler.get("/ready").status == 200
     kept = scheduler.connect()
-    for _ in range(2):  # it stays open again
+    for _ in range(2):  # connections stay open again
         serve_one(scheduler, hop, kept)
     assert kept.sock and scheduler.process.poll() is None
 
 
-def test_a_term_during_a_drain_ends_with_0(operated: Begin) -> None:
+def test_sigterm_during_a_drain_gives_exit_code_0(operated: Begin) -> None:
     scheduler = operated(hop := Hop())
     caller = scheduler.submit()
     job = hop.job()
@@ -286,12 +287,12 @@
     assert scheduler.stopped()[0] == 0
 
 
-def test_the_last_change_is_kept_though_too_many_writes_waited(tmp_path: Path) -> None:
+def test_the_last_change_is_persisted_when_too_many_writes_are_pending(tmp_path: Path) -> None:
     async def change_while_the_disk_stalls() -> None:
         book: Book = {}
         keeper = Keeper(path, lambda: book)
         keeper.start(asyncio.get_running_loop().call_soon_threadsafe)
-        for n in range(40):  # faster than a file is written: most find that too many wait
+        for n in range(40):  # faster than the file is written, so that most find too many writes pending
             book[f"s-{n}"] = Word(float(n), True)
             keeper.changed()
         assert await keeper.wait() == "" and read_book(path.read_bytes()) == book
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The real program as a process, spoken to as callers, next hops and discovery would."""
+"""The real program as a process, tested with simulated callers, next hops and discovery."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 # ---------------------------------------------------------------- transactions
 
 
-def test_a_job_goes_to_a_next_hop_unchanged_and_its_result_comes_back(begin: Start) -> None:
+def test_a_job_is_forwarded_unchanged_and_its_result_returned(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     caller = scheduler.submit("match-list", "aa11", body=b"x" * 60_000)
     job = hop.job()
@@ -27,7 +27,7 @@
     job.say("running", share=0.5)
     job.say("done", result="two socials in Mixco")
     assert ended(caller.getresponse()) == (200, b"two socials in Mixco")
-    scheduler.submit("social-booking", on=caller)  # the caller leg lives on; each job has its own connection
+    scheduler.submit("social-booking", on=caller)  # this connection stays open; each job has its own
     again = hop.job()
     assert again.port != job.port
     again.say("done", result="seat")
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("how", NEVER_RAN | MAY_HAVE_RUN)
 @pytest.mark.parametrize("cls", ["match-list", "social-booking"])
-def test_a_job_that_may_have_run_goes_out_again_only_if_it_may(begin: Start, cls: str, how: str) -> None:
+def test_a_job_that_may_have_run_is_resent_only_if_allowed(begin: Start, cls: str, how: str) -> None:
     scheduler = begin(*(hops := [Hop("s-1"), Hop("s-2")]))
     caller = scheduler.submit(cls)
     assert until(lambda: not all(h.jobs.empty() for h in hops))
@@ -76,7 +76,7 @@
     assert "defects" not in scheduler.counters()
 
 
-def test_a_next_hop_that_takes_no_connection_costs_no_job(begin: Start) -> None:
+def test_a_next_hop_that_refuses_connections_loses_no_job(begin: Start) -> None:
     dead, alive = Hop("s-1"), Hop("s-2")
     dead.server.stop()
     scheduler = begin(dead, alive)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("cls", "status"), [("match-list", 503), ("social-booking", 500)])
-def test_a_silent_next_hop_holds_no_answer_past_its_deadline(begin: Start, cls: str, status: int) -> None:
+def test_a_silent_next_hop_delays_no_answer_past_its_deadline(begin: Start, cls: str, status: int) -> None:
     scheduler = begin(hop := Hop())
     began = time.monotonic()
     caller = scheduler.submit(cls, wait="600m")
@@ -101,7 +101,7 @@
     assert job.dropped()
 
 
-def test_a_caller_that_leaves_ends_its_job(begin: Start) -> None:
+def test_a_caller_that_disconnects_ends_its_job(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     caller = scheduler.submit()
     job = hop.job()
@@ -110,7 +110,7 @@
     assert until(lambda: scheduler.counters().get("requests.left.match-list") == 1)
 
 
-def test_an_id_that_is_still_in_work_is_not_taken_twice(begin: Start) -> None:
+def test_a_job_with_the_id_of_an_open_job_is_not_accepted(begin: Start) -> None:
     scheduler = begin(hop := Hop(), Hop("s-2"))
     first = scheduler.submit("social-booking", "77")
     until(lambda: any(not h.jobs.empty() for h in scheduler.hops))
@@ -123,9 +123,9 @@
 
 @pytest.mark.parametrize("how", ["cut", "silence", "500"])
 @pytest.mark.parametrize("cls", ["match-list", "social-booking"])
-def test_a_job_whose_body_was_not_asked_for_goes_out_again(begin: Start, cls: str, how: str) -> None:
+def test_a_job_whose_body_was_not_requested_is_resent(begin: Start, cls: str, how: str) -> None:
     scheduler = begin(hop := Hop())
-    caller = scheduler.submit(cls)  # from here on it is known to say 100
+    caller = scheduler.submit(cls)  # from now on the next hop is known to send 100 Continue
     hop.job().say("done", result="first")
     assert ended(caller.getresponse()) == (200, b"first")
     hop.heads.put(how)
@@ -134,12 +134,12 @@
     hop.job().say("done", result="second")
     assert ended(caller.getresponse()) == (200, b"second") and time.monotonic() - began < 1
     counters = scheduler.counters()
-    # On a connection that was used before, a break is no word on the next hop: the branch dials anew.
+    # A break of a reused connection says nothing about the next hop, so the branch reconnects.
     unsent = counters.get("branches.ended.unsent", 0) + counters.get("branches.dialled_anew", 0)
     assert unsent == 1 and counters["branches.written"] == 3
 
 
-def test_a_next_hop_that_never_says_100_gets_its_body_all_the_same(begin: Start) -> None:
+def test_a_next_hop_that_never_sends_100_still_receives_the_body(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     hop.heads.put("no word")
     caller = scheduler.submit("social-booking", body=b"whole")
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("how", ["it is idle too long", "the next hop closes it"])
-def test_a_kept_connection_is_left_in_time(begin: Start, how: str) -> None:
+def test_a_reused_connection_is_replaced_when_idle_or_closed(begin: Start, how: str) -> None:
     idle = 300 if how == "it is idle too long" else 5000
     hop = Hop()
     hop.cut_probes = how == "the next hop closes it"
@@ -159,7 +159,7 @@
     assert scheduler.counters()["probes.ended.ok"] >= 2
 
 
-def test_a_lack_of_descriptors_is_not_held_against_a_next_hop(begin: Start) -> None:
+def test_a_lack_of_descriptors_does_not_count_as_a_failure_of_the_next_hop(begin: Start) -> None:
     scheduler = begin(hop := Hop(), descriptors=40)
     idle = [socket.create_connection(("127.0.0.1", scheduler.port), SOON) for _ in range(60)]
     for _ in range(5):
@@ -171,7 +171,7 @@
         sock.close()
 
 
-# ------------------------------------------------------------------- bad input
+# --------------------------------------------------------------- invalid input
 
 
 GOOD = {"Req-Id": "1f", "Req-Kind": "match-list", "Req-Deadline": "900m"}
@@ -199,7 +199,7 @@
     ("GET", "/match-list", GOOD, 405),
     ("POST", "/ready", {}, 405),
 ])
-def test_bad_requests_are_told_so_and_harm_nothing(
+def test_bad_requests_get_their_status_and_do_no_harm(
     begin: Start, method: str, path: str, headers: dict[str, str], status: int
 ) -> None:
     scheduler = begin(Hop())
@@ -233,19 +233,19 @@
 ], ids=["no http", "negative length", "long head", "no host", "long body", "long chunk", "two lengths",
         "chunks in 1.0", "two ids", "two idempotency keys", "long idempotency key", "long length",
         "over its length", "under its length", "half a head"])
-def test_malformed_http_is_told_so(begin: Start, raw: bytes, status: int) -> None:
+def test_malformed_http_gets_its_status(begin: Start, raw: bytes, status: int) -> None:
     scheduler = begin(Hop())
     with socket.create_connection(("127.0.0.1", scheduler.port), SOON) as sock:
         sock.sendall(raw)
         lines = sock.makefile("rb")
         assert lines.readline().split()[1] == b"%d" % status
         sock.shutdown(socket.SHUT_WR)
-        assert b"HTTP/1.1" not in lines.read()  # to the end: nothing else is answered, and it is closed
+        assert b"HTTP/1.1" not in lines.read()  # until closed: there is no further answer
     assert scheduler.get("/ready").status == 200
     assert scheduler.hops[0].jobs.empty()
 
 
-def test_a_request_may_come_byte_by_byte_and_wait_for_its_100(begin: Start) -> None:
+def test_a_request_may_arrive_byte_by_byte_and_wait_for_100_continue(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     with socket.create_connection(("127.0.0.1", scheduler.port), SOON) as sock:
         for byte in HEAD + NEEDED + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n":
@@ -257,19 +257,19 @@
         assert lines.readline() == b"\r\n" and lines.readline().split()[1] == b"200"
 
 
-def test_who_says_nothing_is_closed_and_who_was_served_may_wait(begin: Start) -> None:
+def test_silent_new_connections_are_closed_and_served_ones_stay_open(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     kept = scheduler.submit()
     hop.job().say("done", result="ok")
     assert ended(kept.getresponse())[0] == 200
     with socket.create_connection(("127.0.0.1", scheduler.port), 2.9) as silent:
-        assert silent.recv(1) == b""  # within the 3 s that are owed
+        assert silent.recv(1) == b""  # within the 3 s required
     scheduler.submit(on=kept)
     hop.job().say("done", result="still here")
     assert ended(kept.getresponse()) == (200, b"still here")
 
 
-def test_a_caller_that_sends_on_before_its_answer_has_an_error(begin: Start) -> None:
+def test_a_caller_that_sends_more_before_its_answer_gets_an_error(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     caller = scheduler.submit()
     (job := hop.job()).say("started")
@@ -282,7 +282,7 @@
     assert ended(other.getresponse()) == (200, b"not touched")
 
 
-def test_a_body_of_60_mb_is_drained_while_others_are_served(begin: Start) -> None:
+def test_a_refused_body_of_60_mb_is_read_while_others_are_served(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     with socket.create_connection(("127.0.0.1", scheduler.port), SOON) as sock:
         sock.sendall(HEAD + NEEDED + b"Content-Length: 60000000\r\n\r\n")
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize("lifecycle", ["terminating", "terminated", "a word unheard of"])
-def test_nothing_new_goes_to_a_next_hop_that_drains_or_is_gone(begin: Start, lifecycle: str) -> None:
+def test_no_new_job_goes_to_a_draining_or_removed_next_hop(begin: Start, lifecycle: str) -> None:
     first, second = Hop("s-1"), Hop("s-2")
     scheduler = begin(first, second)
     scheduler.directory.tell(first.entry(lifecycle=lifecycle))
@@ -322,7 +322,7 @@
     assert first.jobs.empty()
 
 
-def test_the_next_watch_follows_at_once(begin: Start) -> None:
+def test_the_next_watch_starts_at_once(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     scheduler.directory.calls.get(timeout=SOON)
     told = time.monotonic()
@@ -331,17 +331,17 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"{", b"[]", b'{"generation":2,"reset":false,"instances":7}'])
-def test_a_failed_watch_is_made_anew_and_the_old_list_serves_on(begin: Start, answer: bytes) -> None:
+def test_a_failed_watch_is_retried_and_the_old_list_stays_in_use(begin: Start, answer: bytes) -> None:
     hop = Hop()
     scheduler = begin(hop)
     scheduler.directory.calls.get(timeout=SOON)
     scheduler.directory.broken.append(answer)
-    with scheduler.directory.changed:  # ends the watch that is out; the next one gets the odd answer
+    with scheduler.directory.changed:  # ends the pending watch; the next one gets the broken answer
         scheduler.directory.version += 1
         scheduler.directory.changed.notify_all()
     calls = [scheduler.directory.calls.get(timeout=SOON)[1] for _ in range(2)]
     assert "index=2&" in calls[0]
-    # After a failure the whole list; of a discovery that is only busy, what has changed.
+    # A failure is followed by a request for the whole list; a busy discovery is asked for changes only.
     assert "index=2&" in calls[1] if answer == b"" else calls[1].endswith("/v1/endpoints")
     assert scheduler.counters()["discovery.failed"] == 1
     caller = scheduler.submit()
@@ -352,7 +352,7 @@
 # ---------------------------------------------------------------- start and stop
 
 
-def test_after_sigterm_it_serves_on_settles_all_and_exits_with_0(begin: Start) -> None:
+def test_after_sigterm_it_keeps_serving_settles_all_jobs_and_exits_with_0(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     kept, running = scheduler.connect(), scheduler.submit()
     kept.request("GET", "/ready")
@@ -362,14 +362,14 @@
     scheduler.ask_to_stop()
     began = time.monotonic()
     assert until(lambda: scheduler.get("/ready").status == 503)
-    late = scheduler.submit()  # connections keep coming for a while
+    late = scheduler.submit()  # new connections are accepted for a while
     hop.job().say("done", result="late")
     assert ended(late.getresponse()) == (200, b"late")
     time.sleep(1)
     scheduler.submit(on=kept)
     hop.job().say("done", result="kept")
     assert ended(kept.getresponse()) == (200, b"kept")
-    scheduler.submit(on=kept, cost="9000000")  # can not be done in time: its caller looks elsewhere at once
+    scheduler.submit(on=kept, cost="9000000")  # can't be done in time: refused at once
     assert kept.getresponse().status == 503
     assert late.sock.recv(1) == b"" and 2.5 < time.monotonic() - began < 3.7
 
@@ -389,7 +389,7 @@
     assert lines[-1]["counters"]["answers.served.match-list"] == 3
 
 
-def test_a_connection_accepted_for_it_at_the_end_is_served(begin: Start) -> None:
+def test_a_connection_opened_just_before_the_stop_is_served(begin: Start) -> None:
     scheduler = begin(hop := Hop())
     fresh = scheduler.connect()
     fresh.connect()
@@ -403,7 +403,7 @@
 
 @pytest.fixture
 def moved() -> Iterator[Callable[[Hop], Directory]]:
-    """Make other discoveries, each of which lists one next hop."""
+    """Make further discovery servers, each of which lists one next hop."""
     made: list[Directory] = []
 
     def make(hop: Hop) -> Directory:
@@ -416,7 +416,7 @@
         directory.server.stop()
 
 
-def test_a_new_configuration_moves_the_watch_at_once(begin: Start, moved: Callable[[Hop], Directory]) -> None:
+def test_a_new_discovery_address_is_used_at_once(begin: Start, moved: Callable[[Hop], Directory]) -> None:
     first, second = Hop("s-1"), Hop("s-2")
     scheduler = begin(first)
     scheduler.directory.calls.get(timeout=SOON)
@@ -437,7 +437,7 @@
 
 
 @pytest.mark.parametrize(("text", "key"), [("{", "LB_CONFIG"), ('{"listen":"127.0.0.1:0"}', "classes")])
-def test_a_faulty_new_configuration_is_told_and_the_old_one_kept(begin: Start, text: str, key: str) -> None:
+def test_a_faulty_new_configuration_is_logged_and_not_applied(begin: Start, text: str, key: str) -> None:
     scheduler = begin(hop := Hop())
     scheduler.reload(text)
     assert scheduler.process.stdout
@@ -449,7 +449,7 @@
 
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
-def test_a_new_configuration_beside_sigterm_ends_in_order(begin: Start, first: signal.Signals) -> None:
+def test_a_reload_signal_together_with_sigterm_ends_in_order(begin: Start, first: signal.Signals) -> None:
     scheduler = begin(hop := Hop())
     caller = scheduler.submit()
     job = hop.job()
@@ -473,7 +473,7 @@
      "settings.request_classes[0].hard_limit_ms"),
     ({"settings": SETTINGS | {"report": {"fields": [3]}}}, "settings.report.fields[0]"),
 ])
-def test_a_faulty_key_is_named_with_exit_code_2(tmp_path: Path, change: dict[str, Any], key: str) -> None:
+def test_a_faulty_key_is_reported_with_exit_code_2(tmp_path: Path, change: dict[str, Any], key: str) -> None:
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": SETTINGS} | change
     process = start(tmp_path, config)
     _, errors = process.communicate(timeout=SOON)
--- a/tests/test_statuspage.py
+++ b/tests/test_statuspage.py
@@ -1,4 +1,4 @@
-"""The status page, on real sockets beside jobs; and what it is made of."""
+"""The status page over real sockets while jobs run, and the snapshot that it shows."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return told
 
 
-def test_the_page_tells_servers_load_and_the_last_error(begin: Start) -> None:
+def test_the_page_shows_servers_load_and_the_last_error(begin: Start) -> None:
     scheduler = begin(hop := Hop(), ini=INI)
     caller = scheduler.submit("social-booking")
     job = hop.job()
@@ -65,17 +65,17 @@
     scheduler = begin(Hop(), ini=INI)
     assert read(scheduler, path, method)[0] == code
     assert scheduler.counters()[f"statuspage.answers.{code}"] == 1
-    assert scheduler.get("/status.json").status == 404  # the main port is as it was
+    assert scheduler.get("/status.json").status == 404  # the main port does not serve the page
 
 
-def test_what_comes_from_outside_is_escaped(begin: Start) -> None:
+def test_external_names_are_escaped(begin: Start) -> None:
     scheduler = begin(Hop('s-<script>&"'), ini=INI)
     page = read(scheduler, "/")[2]
     assert "<script>" not in page and "s-&lt;script&gt;&amp;&quot;" in page
     assert status(scheduler)["servers"][0]["id"] == 's-<script>&"'
 
 
-def test_an_error_is_cleared_after_its_time(begin: Start) -> None:
+def test_an_error_is_removed_after_its_retention_time(begin: Start) -> None:
     scheduler = begin(hop := Hop(), ini=INI + "error_keep_s = 0.4\n")
     caller = scheduler.submit("social-booking")
     hop.job().cut()
@@ -84,14 +84,14 @@
     assert until(lambda: status(scheduler)["servers"][0]["last_error"] is None)
 
 
-def test_pages_that_nobody_reads_delay_no_job_and_are_let_go(begin: Start) -> None:
+def test_clients_that_do_not_read_the_page_delay_no_job_and_are_closed(begin: Start) -> None:
     scheduler = begin(hop := Hop(), ini="[statuspage]\nport = 0\nrefresh_ms = 1000\n")
     # A page of 10 MB: a quote takes one byte in the list and six in HTML.
     huge = [hop.entry(instanceId=f"{n}" + "'" * 200_000, lifecycle="terminating") for n in range(9)]
     scheduler.directory.tell(*huge)
     assert until(lambda: len(status(scheduler)["servers"]) == 10)
     readers = []
-    for _ in range(9):  # more than there are legs, of a page that no socket's buffer holds
+    for _ in range(9):  # more clients than connections allowed, and a page larger than any socket buffer
         reader = socket.socket()
         reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         reader.connect(("127.0.0.1", scheduler.ports["status_port"]))
@@ -105,12 +105,12 @@
         assert ended(caller.getresponse()) == (200, b"ok")
         slowest = max(slowest, time.monotonic() - began)
     assert slowest < 0.5
-    assert read(scheduler, "/status.json")[0] == 200  # the writes end by their limit, not by the readers
+    assert read(scheduler, "/status.json")[0] == 200  # the writes end by timeout, not because clients read
     for reader in readers:
         reader.close()
 
 
-def test_odd_and_silent_readers_harm_nothing(begin: Start) -> None:
+def test_malformed_and_silent_clients_do_no_harm(begin: Start) -> None:
     scheduler = begin(Hop(), ini=INI)
     silent = [socket.create_connection(("127.0.0.1", scheduler.ports["status_port"])) for _ in range(9)]
     silent[0].sendall(b"\x16\x03\x01 hello\r\n\r\n")
@@ -123,7 +123,7 @@
     assert scheduler.stopped()[0] == 0
 
 
-def test_a_taken_port_ends_the_start_with_a_line_that_names_it(begin: Start, tmp_path: Path) -> None:
+def test_a_port_in_use_ends_the_start_with_one_line_that_names_the_key(begin: Start, tmp_path: Path) -> None:
     config = begin(Hop()).config
     with socket.create_server(("127.0.0.1", 0)) as taken:
         ini = f"[statuspage]\nport = {taken.getsockname()[1]}\n"
@@ -135,12 +135,12 @@
     ("", "port"), ("port = 65536", "port"), ("port = x", "port"), ("port = 0\nrefresh_ms = 1", "refresh_ms"),
     ("port = 0\nerror_keep_s = -1", "error_keep_s"),
 ])
-def test_a_bad_setting_is_named_with_exit_code_2(tmp_path: Path, line: str, key: str) -> None:
+def test_a_bad_setting_is_reported_with_exit_code_2(tmp_path: Path, line: str, key: str) -> None:
     _, errors = (process := start(tmp_path, {}, ini=f"[statuspage]\n{line}\n")).communicate(timeout=SOON)
     assert process.returncode == 2 and f"[statuspage] {key}:" in errors and errors.count("\n") == 1
 
 
-# ------------------------------------------------------------------- the memory alone
+# ----------------------------------------------------------------- the reducer alone
 
 
 @pytest.mark.parametrize(("end", "word"), [
@@ -149,7 +149,7 @@
     (Ending(End.DECLINED, Reach.ANSWERED), None), (DONE, None), (Ending(End.BROKEN, Reach.UNTRIED), None),
 ])
 @pytest.mark.parametrize("of", ["branch", "probe"])
-def test_errors_come_from_branches_and_probes_and_go_with_their_next_hop(
+def test_errors_of_branches_and_probes_are_shown_until_the_next_hop_is_removed(
     end: Ending, word: str | None, of: str
 ) -> None:
     memory = Memory(1)
