--- a/flintfield/memory/answering.py
+++ b/flintfield/memory/answering.py
@@ -5,10 +5,10 @@
 from flintfield.memory.ledger import PendingAnswer
 from flintfield.memory.messages import Answer, FrontAnswer, JobClosed, Keep, Lasting, Verdict
 from flintfield.memory.state import DeadlineTimer, RecordTimer, Transaction
-from flintfield.memory.turn import Desk
+from flintfield.memory.turn import TurnBase
 
 
-class Answering(Desk):
+class Answering(TurnBase):
     """Sends each transaction's answer exactly once."""
 
     def _record(self, name: str) -> Lasting | None:
--- a/flintfield/memory/turn.py
+++ b/flintfield/memory/turn.py
@@ -28,7 +28,7 @@
 Table = dict[type, Callable[[Any, Any], None]]
 
 
-class Desk:
+class TurnBase:
     """State and helpers common to all layers.
 
     A unit's handler reads `state` and `now`, changes only its own data, and appends to `effects`.
