--- a/flintfield/__init__.py
+++ b/flintfield/__init__.py
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Import the decision module when it is asked for: not every process decides."""
+    """Import the decision module on first use, since some processes never need it."""
     if name == "Dispatcher":
         from flintfield.decision.policy import Dispatcher
 
--- a/flintfield/dispatch/__init__.py
+++ b/flintfield/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher's shell: connections, timers and writes around the state machine in `flintfield.jobs`."""
+"""The dispatch service: connections, timers and writes around the state machine in `flintfield.jobs`."""
--- a/flintfield/dispatch/interface.py
+++ b/flintfield/dispatch/interface.py
@@ -1,4 +1,4 @@
-"""What the dispatcher's shell needs of the parts around it."""
+"""The interfaces that the dispatch service needs from its surroundings."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from flintfield.placement.interface import Placement
 
 ConfigurationSource = Callable[[], Configuration | None]
-"""The newest configuration in force here, or None."""
+"""Returns the newest configuration in force in this process, or None."""
 
 MakePlacement = Callable[[int], Placement]
-"""A new placement policy from the seed of its random numbers."""
+"""Creates a placement policy from the seed of its random generator."""
 
 
 class Leadership(Protocol):
-    """One term of leadership, as the coordination library hands it out."""
+    """One term of leadership, as provided by the coordination library."""
 
     @property
     def epoch(self) -> int:
@@ -24,20 +24,20 @@
 
     @property
     def items(self) -> Mapping[bytes, bytes]:
-        """What the ordered store held at the election."""
+        """The contents of the ordered store at the election."""
 
     async def write(self, changes: Sequence[Change]) -> None:
-        """Return when the changes are durable at a majority; calls may overlap and keep their order."""
+        """Return once the changes are durable at a majority; overlapping calls keep their order."""
 
     def confirmed(self) -> bool:
         """Whether a majority has acknowledged this leader within its lease."""
 
     def wall_ms(self) -> int:
-        """Common time, in ms since 1970."""
+        """The cluster's common wall clock, in ms since 1970."""
 
 
 class AgentConnection(Protocol):
-    """What is used of a connection to an agent."""
+    """The part of a connection to an agent that the service uses."""
 
     @property
     def closed(self) -> bool:
--- a/flintfield/dispatch/service.py
+++ b/flintfield/dispatch/service.py
@@ -1,9 +1,9 @@
-"""The dispatcher in a scheduler process: an asyncio shell around `flintfield.jobs.dispatcher.Dispatcher`.
+"""The dispatch service of a scheduler process: runs `flintfield.jobs.dispatcher.Dispatcher` on asyncio.
 
-While this process leads, calls of clients and reports of agents become events of the state machine, and its
-effects become answers, writes and orders. Nothing leaves a dispatcher whose leadership is not confirmed at
-that moment: a call is then answered by `NotDispatcher`, or by 504 where it may have been taken in. When the
-term ends, the whole state machine is dropped.
+While this process leads, client calls and agent reports become events of the state machine, and its effects
+become answers, writes and orders. The service sends no results unless its leadership is confirmed at that
+moment: otherwise a call is answered by `NotDispatcher`, or by 504 if it may have been accepted. When the term
+ends, the whole state machine is discarded.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 from flintfield.runtime import logs
 
 TICK_MS = 50
-TICK_JITTER = 0.1  # of the period, either way
-LOG_TIMES_MS = 10_000  # between two lines on where the time of jobs goes
-MAX_BYTES_OUT = 1 << 20  # of writes under way; the leader has calls wait for one another beyond 4 MiB
-MAX_CALLS = 2_000  # that wait for a write; beyond: 503
-BEHIND_RETRY_MS = 200  # a caller has seen a newer configuration than this process
+TICK_JITTER = 0.1  # fraction of the period, in either direction
+LOG_TIMES_MS = 10_000  # interval between log lines about the queue times of jobs
+MAX_PENDING_BYTES = 1 << 20  # limit on bytes of pending writes; beyond 4 MiB the leader makes calls wait
+MAX_CALLS = 2_000  # limit on calls that wait for a write; beyond it calls get a 503
+OUTDATED_RETRY_MS = 200  # retry delay for a caller that has seen a newer configuration than this process
 
 logger = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
 
 
 class _Call:
-    """A client's call that has no answer yet."""
+    """A client's call, while it has no answer."""
 
     __slots__ = ("answer", "method", "waiter")
 
@@ -59,7 +59,7 @@
         self.waiter: asyncio.Future[Reply] | None = None
 
     def settle(self, answer: Reply) -> None:
-        """The one change from open to answered."""
+        """Set the answer; called once."""
         self.answer = answer
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(answer)
@@ -75,7 +75,7 @@
         self.agents: dict[str, AgentConnection] = {}
         self.waiting: deque[Write] = deque()
         self.writes: set[asyncio.Task[None]] = set()
-        self.bytes_out = 0
+        self.pending_bytes = 0
         self.timer: asyncio.TimerHandle | None = None
         self.over = False
         self.log_times_ms = 0
@@ -84,9 +84,9 @@
 class DispatchService:
     """Serves `JobCall` and `AgentReport`; a `LeaderListener` of the coordination library.
 
-    `configuration` gives the newest configuration, `make_placement` a policy from a seed, `steady_ms` the
-    steady clock, `leader_address` where the process that leads may be reached ("" if unknown),
-    `make_recorder` what notes the history of jobs in one term (None: nobody does).
+    `configuration` returns the newest configuration, `make_placement` a policy from a seed, `steady_ms` the
+    time of a monotonic clock, `leader_address` the address of the leading process ("" if unknown),
+    `make_recorder` a recorder of the jobs' history in one term (None: no recording).
     """
 
     def __init__(
@@ -111,24 +111,24 @@
         self._next_call = 0
 
     def handlers(self) -> Mapping[type, Callable[[Any, Any], Any]]:
-        """What the RPC listener is to serve."""
+        """The RPC handlers by request type."""
         return {JobCall: self._job_call, AgentReport: self._agent_report}
 
     @property
     def leads(self) -> bool:
-        """Whether this process acts as the dispatcher, confirmed."""
+        """Whether this process is the dispatcher, with confirmed leadership."""
         term = self._term
         return term is not None and term.leadership.confirmed()
 
     @property
     def dispatcher(self) -> Dispatcher | None:
-        """The state machine while this process leads, confirmed; to be looked at and not to be changed."""
+        """The state machine while this process is the confirmed leader, else None; for reading only."""
         return self._term.dispatcher if self._term is not None and self.leads else None
 
     # Terms
 
     def elected(self, leadership: Leadership) -> None:
-        """A term begins: build the state machine from what is durable."""
+        """Begin a term: build the state machine from the durable items."""
         self.deposed()
         now_ms = self._steady_ms()
         placement = self._make_placement(self._rng.getrandbits(31))
@@ -144,7 +144,7 @@
         self._tick(term)
 
     def deposed(self) -> None:
-        """The term is over: drop everything at once."""
+        """End the term: discard its state and answer its open calls."""
         term, self._term = self._term, None
         if term is None:
             return
@@ -160,12 +160,12 @@
         logger.info("no longer dispatching in epoch %d", term.leadership.epoch)
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """A newer configuration is in force here."""
+        """Take up a configuration that is now in force in this process."""
         if self._term is not None:
             self._follow(self._term, configuration)
 
     def _follow(self, term: _Term, configuration: Configuration | None) -> None:
-        """See to it that the state machine goes by this configuration, or by a newer one."""
+        """Pass the configuration to the state machine unless that has the same version or a newer one."""
         if configuration is not None and configuration.version > term.dispatcher.configuration_version:
             self._feed(term, ConfigurationChanged(configuration))
 
@@ -178,7 +178,7 @@
         self._log_times(term)
 
     def _log_times(self, term: _Term) -> None:
-        """Tell the log, once in a while, where the time of jobs goes."""
+        """Log the queue times of jobs every `LOG_TIMES_MS`."""
         now_ms = self._steady_ms()
         if now_ms >= term.log_times_ms and not term.over:
             term.log_times_ms = now_ms + LOG_TIMES_MS
@@ -193,7 +193,7 @@
         ours = self._configuration()
         version = ours.version if ours is not None else 0
         if request.version > version or len(term.calls) >= MAX_CALLS:
-            return JobAnswer(503, b'{"error":"no_configuration"}', BEHIND_RETRY_MS, version)
+            return JobAnswer(503, b'{"error":"no_configuration"}', OUTDATED_RETRY_MS, version)
         self._follow(term, ours)
         self._next_call += 1
         number = self._next_call
@@ -211,7 +211,7 @@
             call.settle(effect.answer if confirmed else self._unknown(call))
 
     def _unknown(self, call: _Call) -> Reply:
-        """Nothing is known of what becomes of it; a question may be put to another process at once."""
+        """The answer if the call's outcome is unknown; a read-only call is redirected to the leader."""
         if call.method in (Method.SUBMIT, Method.CANCEL):
             return JobAnswer(504, b'{"error":"unknown"}', 0, 0)
         return self._not_dispatcher()
@@ -252,7 +252,7 @@
                     self._send(term, effect)
 
     def _send(self, term: _Term, effect: SendOrders) -> None:
-        """Orders and grants leave only within the lease; what is dropped here is repeated later."""
+        """Send orders and grants, but only within the lease; orders dropped here are repeated later."""
         connection = term.agents.get(effect.machine)
         if connection is not None and term.leadership.confirmed():
             connection.send(effect.orders)
@@ -262,11 +262,11 @@
         self._begin_writes(term)
 
     def _begin_writes(self, term: _Term) -> None:
-        """Begin writes in order; so few bytes at once that the leader takes each without a wait."""
-        while term.waiting and (not term.writes or term.bytes_out <= MAX_BYTES_OUT):
+        """Start writes in order, with few enough bytes pending that the leader accepts each without delay."""
+        while term.waiting and (not term.writes or term.pending_bytes <= MAX_PENDING_BYTES):
             effect = term.waiting.popleft()
             size = sum(len(key) + len(value or b"") for key, value in effect.changes)
-            term.bytes_out += size
+            term.pending_bytes += size
             task = asyncio.get_running_loop().create_task(self._make_durable(term, effect, size))
             term.writes.add(task)
             task.add_done_callback(term.writes.discard)
@@ -276,12 +276,12 @@
             await term.leadership.write(effect.changes)
         except asyncio.CancelledError:
             raise
-        except Exception as error:  # deposed; the listener is told later, and nothing may leave until then
+        except Exception as error:  # deposed; the listener is notified later; send nothing until then
             logger.info("a write of epoch %d was not taken: %s", term.leadership.epoch, error)
             if self._term is term:
                 self.deposed()
             return
         if not term.over:
-            term.bytes_out -= size
+            term.pending_bytes -= size
             self._feed(term, Written(effect.write))
             self._begin_writes(term)
--- a/tests/system/test_dispatch_service.py
+++ b/tests/system/test_dispatch_service.py
@@ -1,4 +1,4 @@
-"""The dispatcher's shell: who is answered what, and that nothing leaves without a confirmed leadership."""
+"""The dispatch service: its answers, and that it sends no results without confirmed leadership."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakeLeadership:
-    """A leadership whose writes become durable when the test says so."""
+    """A leadership whose writes become durable when the test completes them."""
 
     def __init__(self, epoch: int = 3, items: Mapping[bytes, bytes] | None = None) -> None:
         self.epoch = epoch
@@ -37,22 +37,22 @@
         self.written: list[tuple[Sequence[Change], asyncio.Future[None]]] = []
 
     async def write(self, changes: Sequence[Change]) -> None:
-        """Wait for the test."""
+        """Wait until the test completes the write."""
         durable: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.written.append((changes, durable))
         await durable
 
     def confirmed(self) -> bool:
-        """As the test says."""
+        """As set by the test."""
         return self.sure
 
     def wall_ms(self) -> int:
-        """Common time."""
+        """A fixed wall clock time."""
         return WALL_0
 
 
 class FakeConnection:
-    """An agent's connection."""
+    """An agent's connection that records messages and callbacks."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -60,17 +60,17 @@
         self.callbacks: list[Callable[[Any], None]] = []
 
     def send(self, message: object) -> bool:
-        """Keep it."""
+        """Record the message."""
         self.sent.append(message)
         return True
 
     def on_close(self, callback: Callable[[Any], None]) -> None:
-        """Keep it."""
+        """Record the callback."""
         self.callbacks.append(callback)
 
 
 class Service(unittest.IsolatedAsyncioTestCase):
-    """One process."""
+    """Tests of the service in one process."""
 
     def setUp(self) -> None:
         self.now = 1_000
@@ -90,19 +90,19 @@
         self.service.deposed()
 
     def call(self, method: Method, path: str, body: bytes = b"", version: int = 0) -> Any:
-        """What the handler returns."""
+        """Call the handler and return its result."""
         handler = self.service.handlers()[JobCall]
         return handler(JobCall(method, HOST, path, body, version), self.connection)
 
     async def submit(self) -> Awaitable[Any]:
-        """A submission whose write is under way."""
+        """Submit a job and return its answer's future, with the write still pending."""
         waiting = self.call(Method.SUBMIT, "/a/" + job_id(1), BODY)
         self.assertIsInstance(waiting, asyncio.Future)
         await asyncio.sleep(0)
         self.assertEqual(len(self.leadership.written), 1)
         return waiting  # type: ignore[no-any-return]
 
-    async def test_a_process_that_does_not_lead_names_who_may(self) -> None:
+    async def test_a_process_that_does_not_lead_names_the_leader(self) -> None:
         self.assertEqual(self.call(Method.COUNT, "/a/"), NotDispatcher(0, "10.0.0.9:7660"))
 
     async def test_a_leader_that_is_not_confirmed_answers_nothing(self) -> None:
@@ -131,7 +131,7 @@
         self.assertEqual((await waiting).status, 504)
         self.assertEqual(self.call(Method.COUNT, "/a/"), NotDispatcher(3, "10.0.0.9:7660"))
 
-    async def test_a_write_that_is_not_taken_ends_the_term(self) -> None:
+    async def test_a_failed_write_ends_the_term(self) -> None:
         self.service.elected(self.leadership)
         waiting = await self.submit()
         self.leadership.written[0][1].set_exception(RuntimeError("deposed"))
@@ -154,13 +154,13 @@
         self.assertIsInstance(answer, JobAnswer)
         self.assertEqual((answer.status, answer.retry_after_ms), (503, 200))
 
-    async def test_without_a_configuration_nothing_is_refused_for_good(self) -> None:
+    async def test_without_a_configuration_calls_get_a_retryable_error(self) -> None:
         self.configuration = None
         self.service.elected(self.leadership)
         self.assertEqual(self.call(Method.SUBMIT, "/a/" + job_id(1), BODY).status, 503)
         self.assertEqual(self.call(Method.COUNT, "/a/").status, 503)
 
-    async def test_a_newer_configuration_holds_for_the_next_call_even_if_nobody_told_of_it(self) -> None:
+    async def test_a_newer_configuration_applies_to_the_next_call_without_a_notification(self) -> None:
         self.service.elected(self.leadership)
         self.configuration = ConfigurationModel(5, ())
         self.assertEqual(self.call(Method.COUNT, "/a/").status, 404)
@@ -179,7 +179,7 @@
         self.service.handlers()[AgentReport](report(10), self.connection)
         self.assertEqual(self.connection.sent, [NotDispatcher(3, "10.0.0.9:7660")])
 
-    async def test_agents_are_told_when_the_term_ends(self) -> None:
+    async def test_agents_are_notified_when_the_term_ends(self) -> None:
         self.service.elected(self.leadership)
         self.service.handlers()[AgentReport](report(10), self.connection)
         self.service.deposed()
