--- a/flintfield/decision/__init__.py
+++ b/flintfield/decision/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher is told, what it decides, and what it keeps for that."""
+"""The dispatcher's decision module: its events, its decisions and the state that it keeps for them."""
--- a/flintfield/decision/admission.py
+++ b/flintfield/decision/admission.py
@@ -1,16 +1,15 @@
-"""Which jobs are worth taking when there is too little room for all: how old a wish is, and what may still be
-in time.
-
-A client that is refused tries again, with a new id and what is left of the same time. Its wish is as old as
-that time is shorter than the whole, and its aim counts from the wish's beginning. Taken for new, it is served
-too late for its aim and takes the place of one that would be in time: when a third of a fleet was lost, 1,386
-of 1,419 match lists that were late were such repeats.
-
-What is too old goes into room that is to spare, when for a while no job was given up here for want of room;
-else it is refused at once. A *prized* job, worth more than the least, is held for new all the same: hints are
-often wrong, and for what it earns if it is in time ten of the least can be late. For the same reason it is
-thought to be longer than its hint before it is given up, and may queue at a worker for its first place rather
-than be refused for want of a free slot.
+"""Admission control under overload: which jobs are worth accepting, by age and remaining time.
+
+A refused client retries with a new id and the rest of its original time. The retry's age is the original time
+minus the remaining time, and its latency target (aim) counts from the first try. Treated as new, it ends
+after its target and displaces a job that could meet its own: when a third of a fleet was lost, 1,386 of 1,419
+late match lists were such retries.
+
+A job that is too old to meet its target is accepted only into spare capacity, when for a while no job was
+given up here for lack of room; otherwise it is refused at once. A *high-worth* job, worth more than the
+lowest class, is treated as new in any case: hints are often wrong, and what it earns if in time outweighs ten
+late jobs of the lowest worth. For the same reason it is assumed to run longer than its hint before it is
+given up, and its first attempt may queue at a worker instead of being refused for lack of a free slot.
 """
 
 from __future__ import annotations
@@ -19,21 +18,22 @@
 
 from flintfield.decision.interface import RequestClass
 
-HASTE = 2.0  # how long a job is thought to take that has little time, in its time at the quickest worker
-PRESSING = 0.5  # of the time for which it is useful: so long a prized job waits for a slot, then it queues
-SPARE_WORTH = 0.01  # of its class's worth: what a wish counts that is too old to be in time
-SLACK = 1.5  # how much longer than hinted a prized job is thought to be before it is given up
+TOO_LATE_COST_FACTOR = 2.0  # factor on a job's run time at the fastest worker, if it has little time left
+QUEUE_AFTER = 0.5  # fraction of its useful time that a high-worth job waits for a slot before it may queue
+LATE_RETRY_WORTH = 0.01  # fraction of its class's worth that a job counts if too old to meet its target
+HIGH_WORTH_COST_FACTOR = 1.5  # factor on a high-worth job's hinted cost when deciding whether to give it up
 
 
 def useful_ms(cls: RequestClass, cost: float, pace: float) -> float:
-    """For how long from its beginning a wish that has not started can still be in time; `pace` is the time
-    that a unit of its cost runs for."""
+    """How long after its first try (ms) a job that has not started can still meet its target; `pace` is the
+    run time per unit of cost."""
     return max(cls.aim_ms + (cls.stretch - pace) * cost, cls.aim_ms / 2)
 
 
-def is_hopeless(cls: RequestClass, left_ms: float, hint_ms: float | None,
+def is_too_late(cls: RequestClass, left_ms: float, hint_ms: float | None,
                 quickest: Callable[[], float]) -> bool:
-    """Whether a job with less than half its class's time left can hardly end before its answer is due: guards
-    against work for nothing, for an answer at once lets the client look elsewhere. `quickest` gives the
-    pace of the quickest worker."""
-    return left_ms < cls.deadline_ms / 2 and left_ms <= HASTE * quickest() * (hint_ms or 0.0)
+    """Whether a job with less than half its class's time left is unlikely to end before its deadline.
+
+    An immediate answer saves the work and lets the client go elsewhere. `quickest` returns the pace of the
+    fastest worker."""
+    return left_ms < cls.deadline_ms / 2 and left_ms <= TOO_LATE_COST_FACTOR * quickest() * (hint_ms or 0.0)
--- a/flintfield/decision/agenda.py
+++ b/flintfield/decision/agenda.py
@@ -1,12 +1,12 @@
-"""What is to be looked at when: one time for each key, soonest first.
+"""A priority queue of keys by time: each key has one due time, and the earliest comes first.
 
-Rules: `live` is the whole truth, a plain dict from key to time; the heap is made of it and may be made of it
-anew at any time. A time that was replaced or dropped leaves a dead entry in the heap; as soon as the dead
-outnumber the living the heap is made anew, so it holds at most twice what lives (and a few). `put` and `drop`
-cost O(log n) and O(1), a dead entry is paid for once.
+`live`, a plain dict from key to time, is authoritative; the heap is derived from it and can be rebuilt at any
+time. A time that is replaced or dropped leaves a stale entry in the heap. When stale entries outnumber live
+ones the heap is rebuilt, so it holds at most twice the live entries plus a constant. `put` costs O(log n) and
+`drop` O(1); each stale entry is removed once.
 
-A heap with lazy deletion was preferred to a timer wheel: times here reach from milliseconds to minutes and
-are asked for by their exact order, which a wheel gives only within a slot.
+A heap with lazy deletion is used instead of a timer wheel: times range from milliseconds to minutes and are
+needed in exact order, which a wheel does not keep within a slot.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from typing import Any, Generic, TypeVar
 
 K = TypeVar("K", bound=Hashable)
-SLACK = 64  # dead entries that are borne however few live
+STALE_ALLOWANCE = 64  # stale entries that are always tolerated, however few entries are live
 
 
 class Agenda(Generic[K]):
-    """Keys and their times; of one time, the key that was put first comes first."""
+    """Keys and their due times; keys with equal times are ordered by when they were put."""
 
     __slots__ = ("_heap", "_numbers", "live")
 
@@ -34,36 +34,36 @@
         return len(self.live)
 
     def put(self, key: K, at: float) -> None:
-        """Look at the key then, whatever was said before."""
+        """Set the key's due time, replacing an earlier one."""
         live = self.live
         if key in live:
             if live[key] == at:
                 return
-            del live[key]  # so that the dict stands in the order of the puts
+            del live[key]  # keeps the dict in the order of the puts
         live[key] = at
         heapq.heappush(self._heap, (at, next(self._numbers), key))
-        if len(self._heap) > 2 * len(live) + SLACK:
-            self._make_anew()
+        if len(self._heap) > 2 * len(live) + STALE_ALLOWANCE:
+            self._rebuild_heap()
 
     def drop(self, key: K) -> None:
-        """The key need not be looked at any more."""
-        if self.live.pop(key, None) is not None and len(self._heap) > 2 * len(self.live) + SLACK:
-            self._make_anew()
+        """Remove the key, if it is there."""
+        if self.live.pop(key, None) is not None and len(self._heap) > 2 * len(self.live) + STALE_ALLOWANCE:
+            self._rebuild_heap()
 
     def next_at(self) -> float | None:
-        """The soonest time; None if there is none."""
+        """The earliest due time; None if there is none."""
         heap = self._heap
         while heap and self.live.get(heap[0][2]) != heap[0][0]:
             heapq.heappop(heap)
         return heap[0][0] if heap else None
 
     def is_due(self, now: float) -> bool:
-        """Whether some time has come, maybe of a key that is not looked at any more."""
+        """Whether an entry is due; it may be a stale one."""
         heap = self._heap
         return bool(heap) and heap[0][0] <= now
 
     def pop_due(self, now: float) -> K | None:
-        """Take off the first key whose time has come; None if there is none."""
+        """Remove and return the first key that is due; None if there is none."""
         heap, live = self._heap, self.live
         while heap and heap[0][0] <= now:
             at, _, key = heapq.heappop(heap)
@@ -72,20 +72,20 @@
                 return key
         return None
 
-    def take_due(self, now: float) -> Iterator[K]:
-        """Each key whose time has come, soonest first; it is taken off before it is given."""
+    def pop_all_due(self, now: float) -> Iterator[K]:
+        """Yield each key that is due, earliest first; a key is removed before it is yielded."""
         while (key := self.pop_due(now)) is not None:
             yield key
 
-    def _make_anew(self) -> None:
+    def _rebuild_heap(self) -> None:
         self._heap = [(at, next(self._numbers), key) for key, at in self.live.items()]
         heapq.heapify(self._heap)
 
     def kept(self) -> Any:
-        """What a checkpoint keeps."""
+        """The part that a checkpoint stores."""
         return self.live
 
     def restore(self, kept: Any, _: float) -> None:
-        """Go on from what was kept."""
+        """Restore the keys and times that `kept` returned."""
         self.live = dict(kept)
-        self._make_anew()
+        self._rebuild_heap()
--- a/flintfield/decision/byhand.py
+++ b/flintfield/decision/byhand.py
@@ -1,7 +1,7 @@
-"""Workers that operators have taken out by hand, and let back.
+"""Workers that operators have taken out of service by hand, and returned to service.
 
-The list knows nothing of it: a worker that leaves the list and is named again is out as before, and one that
-was let back while it was not listed is cold when it is.
+The server list does not include this: a worker that leaves the list and is listed again is still out of
+service, and one that was returned to service while not listed is cold when it is listed again.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class Hands:
-    """Who is out, and since when the others are back (ms)."""
+    """The workers out of service, and when others were returned to service (ms)."""
 
     def __init__(self) -> None:
         self.out: dict[WorkerId, None] = {}
         self.back: dict[WorkerId, float] = {}
-        self.cold_elsewhere = False  # another process has our part of cold workers' budgets
+        self.cold_elsewhere = False  # another process uses this dispatcher's part of cold workers' budgets
 
     def take(self, event: ByHand, workers: Mapping[WorkerId, Worker], now: float) -> Iterable[Worker]:
-        """Take the word in; the listed workers for which it changes something."""
+        """Apply the event and return the listed workers that it changes."""
         self.out, self.back = dict.fromkeys(event.out), dict(event.back)
         self.cold_elsewhere = event.cold_elsewhere
         return [w for w in workers.values() if self._apply(w, now)]
 
-    def meet(self, worker: Worker, now: float) -> Worker:
-        """A worker that is listed anew."""
+    def apply_to(self, worker: Worker, now: float) -> Worker:
+        """Apply the operators' orders to a newly listed worker, and return it."""
         self._apply(worker, now)
         return worker
 
@@ -42,10 +42,10 @@
         before, worker.barred = worker.barred, False
         return before
 
-    def waiting_for_nobody(self, workers: Iterable[Worker], jobs: Iterable[Job]) -> list[Job]:
-        """The jobs with no attempt out, if all that are listed are out."""
-        return [j for j in jobs if not j.running()] if self.closes_all(workers) else []
+    def unservable_jobs(self, workers: Iterable[Worker], jobs: Iterable[Job]) -> list[Job]:
+        """The jobs without a pending attempt, if all listed workers are out of service."""
+        return [j for j in jobs if not j.running()] if self.are_all_out(workers) else []
 
-    def closes_all(self, workers: Iterable[Worker]) -> bool:
-        """Whether all that are listed are out, so that a job that waits waits for nobody."""
+    def are_all_out(self, workers: Iterable[Worker]) -> bool:
+        """Whether all listed workers are out of service, so that no worker can serve a waiting job."""
         return bool(self.out) and all(w.barred for w in workers)
--- a/flintfield/decision/checkpoint.py
+++ b/flintfield/decision/checkpoint.py
@@ -1,10 +1,11 @@
-"""The whole state of a dispatcher as plain JSON values, and back: what it does next is the same.
+"""Checkpoints: the whole state of a dispatcher as plain JSON values, and back, with identical behaviour.
 
-Jobs, attempts and workers refer to each other. The first mention of one writes it out, later ones name it by
-its number, so that what was one object is one object again. Only the types named here are read back.
+Jobs, attempts and workers refer to each other. The first occurrence of an object is written out and later
+ones refer to it by number, so that object identity is preserved. Only the types listed here are read back.
 
-In JSON a list begins with its tag: `l` list, `t` tuple, `q` deque, `d` dict (keys and values in turn), `#` an
-object mentioned before, else the type's name and its fields. A text stands for a number that JSON lacks.
+In JSON a list begins with its tag: `l` list, `t` tuple, `q` deque, `d` dict (keys and values alternating),
+`#` an object that was written before, else the type's name and its fields. A string stands for a float that
+JSON cannot represent.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 SERIES: dict[type, str] = {list: "l", tuple: "t", deque: "q"}
 MAKERS: dict[str, type[Any]] = {tag: kind for kind, tag in SERIES.items()}
 PLAIN = frozenset({int, bool, type(None)})
-MADE_ANEW = frozenset({"settings", "handlers", "actions", "workers"})  # by the making of a dispatcher
-INDEXED = ("checks", "fleet")  # that keep a part and make the rest anew, of what stands before them
-# Of what a state holds. 6 did not know when discovery was called; 5 knew no pushed lists; 4 knew no patience;
-# 3 knew nobody out by hand; 2 asked discovery at a fixed pace; 1 had no number: it knew no fleet, and its
-# jobs were looked at by a walk.
+NOT_STORED = frozenset({"settings", "handlers", "actions", "workers"})  # set by the constructor, not stored
+SELF_RESTORING = ("checks", "fleet")  # store a part and rebuild their indices; restored after all others
+# Version of the state's layout. 6 lacked the time of the call to discovery; 5 lacked pushed lists; 4 lacked
+# client patience; 3 lacked workers out by hand; 2 called discovery at a fixed interval; 1 had no version
+# number: it had no fleet, and found the jobs to check by a full scan.
 VERSION = 7
-WORDS = struct.Struct("<625I")  # of the generator's state
+WORDS = struct.Struct("<625I")  # the random generator's state
 
 
 class TooLarge(Exception):
@@ -47,39 +48,39 @@
 
 
 def save(dispatcher: Dispatcher, most_values: float = math.inf) -> dict[str, Any]:
-    """The state between two events; `TooLarge` as soon as it proves to have more values than that."""
+    """The state between two events; raises `TooLarge` once it exceeds `most_values` values."""
     writer = _Writer(most_values)
-    state = {name: writer.value(v.kept() if name in INDEXED else v)
-             for name, v in vars(dispatcher).items() if name not in MADE_ANEW}
+    state = {name: writer.value(v.kept() if name in SELF_RESTORING else v)
+             for name, v in vars(dispatcher).items() if name not in NOT_STORED}
     return {"version": VERSION, "fields": writer.fields, "state": state}
 
 
 def restore(settings: Settings, saved: dict[str, Any]) -> Dispatcher:
-    """A dispatcher in that state; a ValueError if it can not be read or is another version's."""
+    """A dispatcher in the saved state; raises ValueError if it is malformed or of another version."""
     dispatcher = Dispatcher(settings, 0)
-    names = set(vars(dispatcher)) - MADE_ANEW
+    names = set(vars(dispatcher)) - NOT_STORED
     if (version := saved.get("version", 1)) != VERSION:
-        raise ValueError(f"a state of version {version!r}, expected {VERSION}: the program that wrote it can "
-                         "go on from it")
+        raise ValueError(f"the state has version {version!r}, expected {VERSION}: only the program version "
+                         "that wrote it can restore it")
     try:
         reader = _Reader(saved["fields"])
         if names != set(saved["state"]):
-            raise ValueError("not the parts of a dispatcher")
+            raise ValueError("the fields are not those of a dispatcher")
         parts = {name: reader.value(value) for name, value in saved["state"].items()}
-        for name in names.difference(INDEXED):
+        for name in names.difference(SELF_RESTORING):
             setattr(dispatcher, name, parts[name])
-        for name in INDEXED:
+        for name in SELF_RESTORING:
             getattr(dispatcher, name).restore(parts[name], dispatcher.now)
     except (ValueError, KeyError, TypeError, IndexError, AttributeError, struct.error) as error:
-        raise ValueError(f"a state that cannot be read: {error!r}") from error
+        raise ValueError(f"the state cannot be read: {error!r}") from error
     return dispatcher
 
 
 class _Writer:
     def __init__(self, most_values: float) -> None:
-        self.fields: dict[str, list[str]] = {}  # of each type that was met
+        self.fields: dict[str, list[str]] = {}  # field names by type, of the types written so far
         self._left = most_values
-        self._numbers: dict[int, int] = {}  # of the objects written, by identity
+        self._numbers: dict[int, int] = {}  # numbers of the objects written, by identity
 
     def value(self, value: Any) -> Any:
         self._left -= 1
@@ -101,7 +102,7 @@
         if kind is random.Random:
             version, words, gauss = value.getstate()
             return ["random", version, base64.b64encode(WORDS.pack(*words)).decode(), gauss]
-        raise TypeError(f"no way to write a {kind.__name__}")
+        raise TypeError(f"cannot write a value of type {kind.__name__}")
 
     def _object(self, value: Any, name: str) -> Any:
         if id(value) in self._numbers:
@@ -117,7 +118,7 @@
 class _Reader:
     def __init__(self, fields: dict[str, list[str]]) -> None:
         self._fields = fields
-        self._objects: list[Any] = []  # in the order in which they were written
+        self._objects: list[Any] = []  # in the order written
 
     def value(self, value: Any) -> Any:
         if isinstance(value, str):
@@ -141,9 +142,9 @@
     def _object(self, name: str, values: list[Any]) -> Any:
         kind = OBJECTS[name]
         made = object.__new__(kind)
-        self._objects.append(made)  # before its parts, which may name it
+        self._objects.append(made)  # before its fields are read, since they may refer to it
         for field, value in zip(self._fields[name], values, strict=True):
-            object.__setattr__(made, field, self.value(value))  # some are frozen
+            object.__setattr__(made, field, self.value(value))  # some classes are frozen
         return made
 
     def _random(self, version: int, words: str, gauss: float | None) -> random.Random:
--- a/flintfield/decision/cold.py
+++ b/flintfield/decision/cold.py
@@ -1,18 +1,19 @@
-"""Rule 4: what a worker that has just started may get from this dispatcher."""
+"""Rule 4: how much work this dispatcher may send to a worker that has just started."""
 
 from __future__ import annotations
 
 from flintfield.decision.pricing import Pricing
 from flintfield.decision.records import Worker, place_of
 
-COLD_PART = 0.6  # the part of the cold budget that is used; the rest is for jobs heavier than they look
+COLD_PART = 0.6  # fraction of the cold budget that is used; the rest covers jobs that cost more than hinted
 
 
 class Cold(Pricing):
-    """Parts of cold workers' budgets, for all dispatchers together push one over."""
+    """Divides cold workers' budgets, since all dispatchers together can overload a cold worker."""
 
     def _cold_room(self, worker: Worker, cost: float) -> bool:
-        """Rule 4: as many share what a cold worker may get as can use their part, in turn by lot."""
+        """Rule 4: a cold worker's budget is divided among as many dispatchers, in random order, as can each
+        use their part."""
         if not worker.is_cold(rules := self.settings.rules, self.now):
             return True
         carries = self.fleet.survey(self._pace).carries.get(worker.entry.kind, 1.0)
@@ -21,7 +22,7 @@
         return worker.sent_since(self.now - rules.fall_ms) + cost <= self._cold_share(worker, budget)
 
     def _cold_share(self, worker: Worker, budget: float) -> float:
-        """Our part of a cold worker's budget for a fall window."""
+        """This dispatcher's part of a cold worker's budget per `fall_ms` window."""
         n, hands = self.settings.dispatchers, self.hands
         users = max(1, min(n, int(budget / max(1.0, *(c.value for c in self.costs)))))
         if worker.turn < 0:
--- a/flintfield/decision/interface.py
+++ b/flintfield/decision/interface.py
@@ -1,7 +1,7 @@
-"""What a dispatcher is told and what it may say: settings, events and actions.
+"""The decision module's interface: settings, events (its input) and actions (its output).
 
-The types know nothing of any wire. Times are milliseconds on the caller's clock, which only has
-to move forward; workers and requests are plain integers picked by the caller.
+The types are independent of any wire format. Times are milliseconds on the caller's clock, which only
+needs to be monotonic; workers and requests are plain integers chosen by the caller.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 @value
 class Report:
-    """A worker's own word on its load, late and inexact; None where not told."""
+    """A worker's own report of its load, delayed and inexact; None for a figure that it does not report."""
 
     free: float | None = None
     inflight: float | None = None
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A line of the server list; `started_ms` 0 means long ago."""
+    """An entry of the server list; `started_ms` 0 means long ago."""
 
     worker: WorkerId
     state: State = State.READY
@@ -85,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the workers; no entries where the mode is FAILED.
+    """Changes to the server list, or all of it; no entries if the mode is FAILED.
 
-    `due`: where a broken watch may have hidden news, when these count as told all the same (ms).
+    `due`: when news that a broken watch may have hidden take effect nevertheless (ms).
     """
 
     mode: ListMode
@@ -97,7 +97,7 @@
 
 @value
 class Request:
-    """A client's job; one final answer is owed before `deadline` on the clock."""
+    """A client's job; it must get exactly one final answer before the time `deadline`."""
 
     rid: int
     cls: int
@@ -112,7 +112,7 @@
 
 @value
 class First:
-    """A streamed answer has begun: the attempt is the client's now."""
+    """A streamed answer has begun, so the client is bound to this attempt."""
 
     rid: int
     attempt: int
@@ -121,7 +121,7 @@
 
 @value
 class Note:
-    """News of an attempt still out: started, or the share that is done."""
+    """Progress of a running attempt: it has started, or the fraction that is done."""
 
     rid: int
     attempt: int
@@ -132,7 +132,7 @@
 
 @value
 class AttemptEnded:
-    """The one outcome of an attempt; `over` when the request has its answer."""
+    """The final outcome of an attempt; `over` if the request has its answer."""
 
     rid: int
     attempt: int
@@ -145,21 +145,21 @@
 
 @value
 class Gone:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected; its request needs no answer any more."""
 
     rid: int
 
 
 @value
 class Ends:
-    """The dispatcher is to end: what is out nowhere then has its answer by `by` (ms)."""
+    """The dispatcher is shutting down: a job with no running attempt is answered by the time `by` (ms)."""
 
     by: float
 
 
 @value
 class Timer:
-    """A timer set earlier has run out."""
+    """A timer that was set earlier has expired."""
 
     token: int
 
@@ -176,22 +176,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRow:
-    """What a plan says of one worker, for this dispatcher."""
+    """A plan's data on one worker, for this dispatcher."""
 
     worker: WorkerId
-    share: float  # of our traffic
+    share: float  # fraction of this dispatcher's traffic
     price: float  # in units of the highest worth
     others: float  # slots that other dispatchers hold there
-    most: float  # most slots that anybody saw free; 0: not known
-    pace: float  # running time for a unit of cost; 0: not measured
-    heard: float  # when anybody had word of it; -inf: never
-    is_home: bool = False  # given to us before all others
+    most: float  # most slots that any dispatcher saw free; 0: not known
+    pace: float  # run time per unit of cost; 0: not measured
+    heard: float  # when any dispatcher last heard from it; -inf: never
+    is_home: bool = False  # assigned to this dispatcher in preference to others
 
 
 @dataclass(frozen=True, slots=True)
 class PlanNews:
-    """A plan, for a dispatcher that takes plans; it weighs 1 until `full_until`, then evenly less until
-    `ends`. `leases`: parts of cold workers' budgets that are ours until then, beside our own part."""
+    """A plan, for a dispatcher that accepts plans; its weight is 1 until `full_until`, then falls linearly to
+    0 at `ends`. `leases`: fractions of cold workers' budgets that are leased to this dispatcher until then,
+    in addition to its own part."""
 
     full_until: float
     ends: float
@@ -201,11 +202,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ByHand:
-    """All workers that operators have out, and when others were let back (ms); none other is out any more.
+    """All workers that operators have taken out of service, and when others were returned to service (ms).
 
-    Nothing new goes to one that is out, whatever the list says of it; one that is let back counts as cold
-    from then. `cold_elsewhere`: another process stands in for this dispatcher too, and the whole of our part
-    of cold workers' budgets is its own.
+    This replaces the earlier set. No new job goes to a worker that is out, whatever the list says; one that
+    is returned counts as cold from then. `cold_elsewhere`: another process also runs as this dispatcher, and
+    uses all of this dispatcher's part of cold workers' budgets.
     """
 
     out: tuple[WorkerId, ...] = ()
@@ -215,19 +216,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HeardOf:
-    """What other dispatchers say of one worker."""
+    """What other dispatchers report about one worker."""
 
     worker: WorkerId
-    held: float  # slots that those hold there that are heard, less where they are heard late
+    held: float  # slots held there by the dispatchers that are heard, discounted for late reports
     most: float  # most slots that any of them saw free; 0: none
     avoid: tuple[int, ...] = ()  # classes whose jobs are likely to fail there
-    unreached: bool = False  # it is not reached by others that stand as we do
+    unreached: bool = False  # dispatchers in the same position as this one cannot reach it
 
 
 @dataclass(frozen=True, slots=True)
 class Hearsay:
-    """What is heard anew. `weight`: how much of what all others hold is in it, from 0 (nobody is heard) to
-    1 (all, and now)."""
+    """New observations by other dispatchers. `weight`: the fraction of the slots held by all others that they
+    cover, from 0 (none is heard) to 1 (all are heard, without delay)."""
 
     weight: float
     rows: tuple[HeardOf, ...] = ()
@@ -241,7 +242,7 @@
 
 @value
 class Send:
-    """Start an attempt; `timeout_ms` 0 lasts until the client gives up."""
+    """Start an attempt; with `timeout_ms` 0 it lasts until the client gives up."""
 
     rid: int
     worker: WorkerId
@@ -250,7 +251,7 @@
 
 @value
 class Refuse:
-    """Final answer: rejected, and a retry is harmless."""
+    """Final answer: rejected; a retry is harmless."""
 
     rid: int
     retry_after_ms: float = 0.0
@@ -258,7 +259,7 @@
 
 @value
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: failed; the job may or may not have had its effect."""
 
     rid: int
 
@@ -273,7 +274,7 @@
 
 @value
 class SetTimer:
-    """Ask for a `Timer` event with this token."""
+    """Request a `Timer` event with this token."""
 
     after_ms: float
     token: int
--- a/flintfield/decision/outcomes.py
+++ b/flintfield/decision/outcomes.py
@@ -1,4 +1,4 @@
-"""What notes and endings tell of workers: remembered, for the decisions to come."""
+"""Updates what is known about workers from progress notes and attempt outcomes."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.pricing import START_MS
 from flintfield.decision.records import Attempt, Job
-from flintfield.decision.rests import rest_after_wait, shun_after_error
-from flintfield.decision.waiting import AHEAD_MS, Waiting
+from flintfield.decision.rests import back_off_after_wait, shun_after_error
+from flintfield.decision.waiting import ANSWER_TIMER_MS, Waiting
 
-UNSTARTED = frozenset({Outcome.CANCELLED, Outcome.TIMEOUT})  # what ends an attempt that still waits there
-LOST = 0.2  # how far a lost, failed or timed-out job lowers a worker's quality, and one served raises it
+ENDED_WAITING = frozenset({Outcome.CANCELLED, Outcome.TIMEOUT})  # how an attempt ends before its start
+HEALTH_STEP = 0.2  # how far a lost, failed or timed-out job lowers a worker's health; a served one raises it
 
 
 class Outcomes(Waiting):
-    """A dispatcher that learns."""
+    """Processes progress notes and attempt outcomes."""
 
     def _note(self, event: Note) -> None:
         attempt, job = self.attempts.get((event.rid, event.attempt)), self.jobs.get(event.rid)
@@ -24,33 +24,34 @@
         if event.started and attempt.started is None:
             attempt.started, waited = self.now, self.now - attempt.at
             self.started += attempt.slots
-            self.checks.put(event.rid, job.last - AHEAD_MS)
+            self.checks.put(event.rid, job.last - ANSWER_TIMER_MS)
             worker.pending.pop(attempt, None)
             if len(job.attempts) > 1:
-                self._call_off([a for a in job.running() if a.started is None], job)
-            rest_after_wait(worker, waited, self.sharers, self.now, self.random)
-        elif event.done > 0:  # early word of a slow or shared machine: time run ÷ share done
+                self._cancel_attempts([a for a in job.running() if a.started is None], job)
+            back_off_after_wait(worker, waited, self.sharers, self.now, self.random)
+        elif event.done > 0:  # early sign of a slow or shared machine: run time ÷ fraction done
             since = attempt.at if attempt.started is None else attempt.started
             worker.pace.add((self.now - since) / event.done / job.cost)
             self._rate(worker)
         self.fleet.touch(worker, rated=event.done > 0)
 
-    def _waited_unseen(self, waited: float) -> bool:
-        """Whether a job that did not start waited in a queue that nothing else tells of.
+    def _is_unreported_wait(self, waited: float) -> bool:
+        """Whether a job that did not start waited in a queue that no probe would report.
 
-        Guards against a queue of what was called off and runs all the same, kept up by one more now and then.
+        Without this, cancelled jobs that run all the same keep a worker's queue full, with one more now and
+        then.
         """
         return self.settings.tells_start and not self.asks and waited > START_MS
 
     def _learn(self, attempt: Attempt, event: AttemptEnded, job: Job | None) -> None:
-        """What an outcome tells of its worker."""
+        """Update what is known about an attempt's worker from its outcome."""
         worker = attempt.worker
         worker.hold(-attempt.slots, self.ticks)
         worker.pending.pop(attempt, None)
         if attempt.started is not None:
             self.started -= attempt.slots
-        elif event.outcome in UNSTARTED and self._waited_unseen(waited := self.now - attempt.at):
-            rest_after_wait(worker, waited, self.sharers, self.now, self.random)
+        elif event.outcome in ENDED_WAITING and self._is_unreported_wait(waited := self.now - attempt.at):
+            back_off_after_wait(worker, waited, self.sharers, self.now, self.random)
         if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
             self._heard(worker, event.report)
         if event.outcome is Outcome.ERROR and job is not None:
@@ -67,9 +68,10 @@
             worker.full_until = self.now + 2 * TICK_MS
             worker.others = max(worker.others, worker.most - worker.mine)
             worker.down = worker.missed = event.outcome is Outcome.CONNECT_FAILED
-        elif event.outcome is Outcome.UNSENT:  # one bad connection is no dead worker; two in a row may be
+        elif event.outcome is Outcome.UNSENT:  # one bad connection: not yet a dead worker
             worker.down, worker.struck = worker.struck, True
         if event.outcome not in (Outcome.FULL, Outcome.CANCELLED, Outcome.MOOT):
-            worker.health = max(0.01, worker.health + LOST * ((event.outcome is Outcome.OK) - worker.health))
+            worker.health = max(
+                0.01, worker.health + HEALTH_STEP * ((event.outcome is Outcome.OK) - worker.health))
         self._rate(worker)
         self.fleet.touch(worker, rated=True)
--- a/flintfield/decision/placing.py
+++ b/flintfield/decision/placing.py
@@ -1,4 +1,4 @@
-"""Which worker a job goes to: drawn by its share among those that may take it."""
+"""Chooses the worker for a job: a random draw by share among those that may take it."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from flintfield.decision.pricing import START_MS
 from flintfield.decision.records import Attempt, Job, Worker
 from flintfield.decision.repeats import bound, may_go
-from flintfield.decision.shares import Order, step_down
+from flintfield.decision.shares import Order, round_down_slots
 from flintfield.decision.useful import Useful
 
-SPARE = 0.5  # slots that are to be free beside those of a job that may not be sent again
+SPARE_SLOTS = 0.5  # slots that should stay free beside a job that must not be sent again
 
 
 class Placing(Useful):
-    """One send."""
+    """Starts attempts."""
 
     def _place(self, job: Job, anywhere: bool = False) -> bool:
-        """Draw a worker with room for the job; while there is none, or none it can pay, it is held here."""
+        """Send the job to a drawn worker; if none has room at a price it can pay, hold the job here."""
         may = self.asking.is_sure(self.now) and (not job.attempts or may_go(job, self.settings, self.now))
         worker = self._draw(job, anywhere) if may else None
         if worker is None:
-            if not job.running():  # one that waits at a worker is not held as well: thousands may in a jam
+            if not job.running():  # a job that waits at a worker is not held as well: in a jam, thousands do
                 self.held.put(job, (bound(job, self.settings) or ("", -1))[1])
             return False
         self.held.take_out(job)
@@ -45,33 +45,33 @@
         return True
 
     def _draw(self, job: Job, anywhere: bool) -> Worker | None:
-        """Draw from η over those that may take the job now; jobs of one key go alike: it is fetched once."""
-        request, shy = job.request, -1
+        """Draw by η among workers that may take the job; jobs of a key share one, which fetches it once."""
+        request, avoided_class = job.request, -1
         cls, needs = self.settings.classes[request.cls], [request.slots]
         if cls.effect is Effect.UNSAFE:
-            # Guards against a booking in a queue that it may not leave: its first place is its only one.
-            needs.insert(0, request.slots + SPARE)
-            # Guards against booking after booking at a worker that fails them and serves other classes well.
-            shy = request.cls if self.fleet.willing(request.cls) else -1
-        if job.arrived < self.now and self._presses(job):
+            # Keeps an unsafe job, which cannot be sent elsewhere later, out of a worker's queue.
+            needs.insert(0, request.slots + SPARE_SLOTS)
+            # Avoids a worker that fails this class again and again but serves other classes well.
+            avoided_class = request.cls if self.fleet.is_any_willing(request.cls) else -1
+        if job.arrived < self.now and self._may_queue(job):
             needs.append(max(0.0, request.slots - 1.0))
         for need in needs:
             def allowed(worker: Worker, floor: float = need - 0.5) -> bool:
                 return worker.room >= floor and self._may_send(job, worker)
 
-            order = not anywhere, cls.kind, job.theta, step_down(need), shy
-            if (worker := self._pick(job, order, allowed)) is not None:
+            order = not anywhere, cls.kind, job.theta, round_down_slots(need), avoided_class
+            if (worker := self._draw_by_share(job, order, allowed)) is not None:
                 return worker
         return None
 
-    def _pick(self, job: Job, order: Order, allowed: Callable[[Worker], bool]) -> Worker | None:
-        """One worker by its share among those of that order that are allowed."""
+    def _draw_by_share(self, job: Job, order: Order, allowed: Callable[[Worker], bool]) -> Worker | None:
+        """Draw one worker by its share among those that `order` describes and `allowed` accepts."""
         pace = max(self.pace.value or 1.0, 1e-6)
         place = bound(job, self.settings) if job.attempts else None
         return self.fleet.draw(order, allowed, self.random, pace, job.request.key, place)
 
     def _may_send(self, job: Job, worker: Worker) -> bool:
-        """Rules 3 and 4 as far as a ready worker of the needed kind tells; no job goes where it failed."""
+        """Check rules 3 and 4 for a ready worker of the needed kind; no job returns to one that failed it."""
         if worker.born > 0 and not self._cold_room(worker, job.cost):
             return False
         if not job.attempts:
@@ -79,8 +79,8 @@
         return not job.failed_at(worker) and ((place := bound(job, self.settings)) is None or all(
             getattr(a.worker.entry, place[0]) == getattr(worker.entry, place[0]) for a in job.maybe_ran()))
 
-    def _somewhere(self, job: Job) -> bool:
-        """Whether any listed worker may take the job now, be there room or not."""
+    def _can_go_anywhere(self, job: Job) -> bool:
+        """Whether any listed worker may take the job now, regardless of room."""
         kind, place = self.settings.classes[job.request.cls].kind, bound(job, self.settings)
         if not self.fleet.ready(kind):
             return False
--- a/flintfield/decision/policy.py
+++ b/flintfield/decision/policy.py
@@ -1,14 +1,14 @@
-"""Every event of flintfield/decision/interface.py in, its actions out; desk.py names the layers below.
+"""Maps each event of flintfield/decision/interface.py to actions; desk.py lists the layers of the classes.
 
-What finds and counts stands in fleet.py, shares.py, homes.py and the like: nothing here walks the fleet or
-the open jobs. docs/design.md names the paper's equations.
+Searching and counting is done by indices in fleet.py, shares.py, homes.py and others, so that nothing here
+scans the fleet or the open jobs. docs/design.md lists the paper's equations.
 """
 
 from __future__ import annotations
 
 import math
 
-from flintfield.decision.admission import is_hopeless
+from flintfield.decision.admission import is_too_late
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.interface import (
     Action, AttemptEnded, ByHand, Ends, Event, Fail, First, Gone, Note, Probe, Probed, Request, ServerList,
@@ -17,14 +17,14 @@
 from flintfield.decision.outcomes import Outcomes
 from flintfield.decision.records import Job
 from flintfield.decision.repeats import may_go
-from flintfield.decision.waiting import AHEAD_MS
+from flintfield.decision.waiting import ANSWER_TIMER_MS
 
-MOST_PROBES = 200  # at a tick, as when all are new
-TICK, WAKE = 0, 0xFFFFFFFF  # timer tokens; requests take those between
+MAX_PROBES_PER_TICK = 200  # limit per tick, reached for example when all workers are new
+TICK, WAKE = 0, 0xFFFFFFFF  # timer tokens; those of requests lie between
 
 
 class Dispatcher(Outcomes):
-    """One dispatcher's decisions: `handle(now, event)` returns what to do, in order."""
+    """The decisions of one dispatcher: `handle(now, event)` returns the actions in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -35,7 +35,7 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and return the actions it calls for."""
+        """Process one event and return the resulting actions."""
         self.actions, self.now = [], now
         self.fleet.advance(now)
         if self.last_tick == -math.inf:
@@ -46,21 +46,21 @@
             if self.fleet.roomy and not isinstance(event, Request | Note):
                 self._serve_held()
             if (opens := self.fleet.next_wake()) < (self.wake_at if self.wake_at > now else math.inf):
-                self.wake_at = opens  # guards against jobs that wait for a worker whose rest is over
+                self.wake_at = opens  # so that held jobs are sent once a worker's back-off ends
                 self.actions.append(SetTimer(opens - now, WAKE))
         return self.actions
 
     def _tick(self) -> None:
-        """Step prices, probe the quiet workers, look after the jobs that wait, keep the list subscription."""
+        """Update prices, probe workers without recent contact, and renew the list subscription if due."""
         self.passed, self.last_tick = self.now - self.last_tick, self.now
         self.ticks += 1
         self.accounts.forget(self.passed)
-        # Jobs that wait at a worker ask for no more workers.
+        # Jobs that wait at a worker are not counted, so that they do not widen the near set.
         self.in_flight += 0.1 * (self.started - self.in_flight)
-        self._size_up()
+        self._resize_near()
         self.actions.append(SetTimer(TICK_MS * self.random.uniform(0.8, 1.2), TICK))
         self.fleet.step_prices(self._prices)
-        for worker in self.fleet.due_for_probe(self._quiet_from, MOST_PROBES) if self.asks else ():
+        for worker in self.fleet.due_for_probe(self._next_probe_at, MAX_PROBES_PER_TICK) if self.asks else ():
             worker.probing, worker.probe_at = True, self.now - self.random.uniform(0, TICK_MS)
             self.actions.append(Probe(worker.entry.worker))
         self.fleet.drop_unused()
@@ -72,8 +72,8 @@
             self.fleet.ask(worker, self.now)
             self._rate(worker)
             self.fleet.touch(worker, rated=True)
-        self._size_up()
-        for job in self.hands.waiting_for_nobody(self.fleet.ring, self.jobs.values()):
+        self._resize_near()
+        for job in self.hands.unservable_jobs(self.fleet.ring, self.jobs.values()):
             self._end(job)
 
     def _request(self, event: Request) -> None:
@@ -89,16 +89,16 @@
         job = self.jobs[event.rid] = Job(event, self.now, max(cost, 1e-3), theta)
         job.last -= 2 * self.settings.resolution_ms
         age = self.patience.age(event.cls, event.deadline - self.now)
-        job.arrived -= 0.0 if self._is_prized(job) else age  # for hints are wrong often: worth a try anew
-        vain = is_hopeless(cls, job.last - self.now, event.hint_ms, self._quickest)
-        if vain or self.hands.closes_all(self.fleet.ring) or (
-                self._is_past(job, 1.0) and not self._take_late(job)):
+        job.arrived -= 0.0 if self._is_high_worth(job) else age  # hints are often wrong: treat as new
+        vain = is_too_late(cls, job.last - self.now, event.hint_ms, self._quickest)
+        if vain or self.hands.are_all_out(self.fleet.ring) or (
+                self._has_waited(job, 1.0) and not self._accept_late(job)):
             self._end(job)
             return
         if not job.attempts:
             self._place(job)
         self.checks.put(event.rid, self.now)
-        if job.last - self.now <= AHEAD_MS:
+        if job.last - self.now <= ANSWER_TIMER_MS:
             self._look(job)
 
     def _ended(self, event: AttemptEnded) -> None:
@@ -111,7 +111,7 @@
             self._forget(job)
         elif job is not None and not job.running():
             ran = bool(job.maybe_ran())
-            if not may_go(job, self.settings, self.now) or (ran and not self._somewhere(job)):
+            if not may_go(job, self.settings, self.now) or (ran and not self._can_go_anywhere(job)):
                 self._end(job)
             else:
                 self._place(job, anywhere=ran)
@@ -120,17 +120,17 @@
     def _timer(self, event: Timer) -> None:
         if event.token == TICK:
             self._tick()
-            for rid in self.checks.take_due(self.now):
+            for rid in self.checks.pop_all_due(self.now):
                 if rid in self.jobs:
                     self._look(self.jobs[rid])
             return
-        due = self.jobs.get(self.timers.ring(event.token))
+        due = self.jobs.get(self.timers.pop(event.token))
         if due is None or due.streaming:
             return
         due.tokens.remove(event.token)
         if self.now >= due.last:  # rule 1: the answer is due
             self._end(due)
-        elif due.waits():  # a second place: another worker may be free; the first start calls off the rest
+        elif due.waits():  # try a second worker; the first start cancels the other attempts
             self._place(due, anywhere=True)
 
     def _gone(self, event: Gone) -> None:
--- a/flintfield/decision/pricing.py
+++ b/flintfield/decision/pricing.py
@@ -1,7 +1,7 @@
-"""Prices of workers and the shares that jobs draw from: the paper's equations (docs/design.md).
+"""Prices of workers, and the shares by which jobs are drawn: the paper's equations (docs/design.md).
 
-A price per worker rises while the demand for its slots is above RHO of capacity; each job draws its worker
-from concave shares that trade speed against price.
+A worker's price rises while the demand for its slots exceeds RHO of its capacity; each job's worker is drawn
+by shares from a concave utility that trades speed against price.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from flintfield.decision.records import Worker
 from flintfield.decision.shares import Goods
 
-RHO = 0.8  # load factor: the part of a worker's slots that is sold without its price rising
-NU = 1.0  # price step for a second of one whole worker's excess demand, in units of the highest worth
-ZETA = 1.0  # mean quality times equal share: larger spreads the shares, smaller favours speed
-COLD_STEPS = 32  # in which the room of a cold worker is thought to grow
-START_MS = 40.0  # a job not started by then waits in its worker's queue
+RHO = 0.8  # load factor: fraction of a worker's slots in use above which its price rises
+NU = 1.0  # price step per second at an excess demand of one whole worker, in units of the highest worth
+ZETA = 1.0  # mean quality times equal share: larger values spread the shares, smaller ones favour speed
+COLD_STEPS = 32  # number of steps in which a cold worker's room is assumed to grow
+START_MS = 40.0  # a job not started after this time is assumed to wait in its worker's queue
 
 
 def shares_at(theta: float, lam: float, mean: float, goods: Goods) -> list[float]:
@@ -30,14 +30,14 @@
 
 
 class Pricing(Knowing):
-    """What a worker has to sell now, and for what."""
+    """The free capacity and the price of each worker."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed, shares_at)
 
     def _assess(self, worker: Worker) -> tuple[float, bool, bool, bool, float]:
-        """For the fleet: room for jobs that would start at once, is it silent, may it be counted on, may its
-        price step, and when time alone changes one of these."""
+        """A worker's state for the fleet: the room for jobs that would start at once, whether it is silent,
+        whether it is usable, whether its price may change, and when one of these changes without an event."""
         now, later, most, silent, usable = self.now, math.inf, worker.most, False, True
         if closed := now < worker.full_until:
             later = worker.full_until
@@ -47,7 +47,7 @@
                 later = min(later, math.nextafter(worker.word + PROBE_MS, math.inf))
         if worker.pending:
             waits = next(iter(worker.pending)).at + START_MS
-            if now > waits:  # a job waits in its queue
+            if now > waits:  # a job is waiting in the worker's queue
                 closed = True
             else:
                 later = min(later, math.nextafter(waits, math.inf))
@@ -62,13 +62,13 @@
         return room, silent, usable, worker.price > 0.0 or self._demand(worker) > RHO, later
 
     def _demand(self, worker: Worker) -> float:
-        """Slot demand u: 1 after 'full' or while no free slot was ever seen."""
+        """Slot demand u: 1 after a FULL outcome or as long as no free slot was ever seen."""
         if self.now < worker.full_until or worker.most <= 0:
             return 1.0
         return min(1.0, (worker.others + worker.mine) / worker.most)
 
     def _prices(self, workers: list[Worker]) -> list[float]:
-        """φ ← [φ − ν(ρ − u)]⁺, up to the top; without fresh word the price is kept."""
+        """φ ← [φ − ν(ρ − u)]⁺, up to the top price; without recent contact the price is kept."""
         step, top = NU * min(1.0, self.passed / 1000.0), self.top_price
         since = self.now - 3 * self._probe_ms()
         return [min(top, max(0.0, w.price - step * (RHO - self._demand(w)))) if w.word > since else w.price
--- a/flintfield/decision/repeats.py
+++ b/flintfield/decision/repeats.py
@@ -1,4 +1,4 @@
-"""Rules 2 and 3 as far as a job alone tells: may it be sent, or sent again, and where must it stay?"""
+"""Rules 2 and 3 as far as they depend on the job alone: whether it may be sent or resent, and where."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def may_go(job: Job, settings: Settings, now: float) -> bool:
-    """Whether the job may be sent, or sent again, at `now` (ms)."""
+    """Whether the job may be sent or resent at `now` (ms)."""
     if not job.attempts:
         return True
     cls, limits, past = settings.classes[job.request.cls], settings.limits, job.maybe_ran()
@@ -21,7 +21,7 @@
 
 
 def _known_until(job: Job, settings: Settings) -> float:
-    """Until when workers know a keyed job that may have run by its key."""
+    """Until when workers recognise a keyed job that may have run as a repeat."""
     window_ms = settings.classes[job.request.cls].window_ms
     return job.maybe_ran()[0].at + window_ms - settings.resolution_ms
 
@@ -38,7 +38,7 @@
 
 
 def is_harmless(job: Job, settings: Settings, back_at: float) -> bool:
-    """Whether a client's own retry is sure to do no harm then, so that the job may be refused (rule 2)."""
+    """Whether a client's retry at `back_at` is surely harmless, so that the job may be refused (rule 2)."""
     cls = settings.classes[job.request.cls]
     if cls.effect is Effect.SAFE or not job.maybe_ran():
         return True
--- a/flintfield/decision/roster.py
+++ b/flintfield/decision/roster.py
@@ -1,21 +1,21 @@
-"""The workers as they are known now, and the indices that find and count them without a walk.
+"""The listed workers, and the indices that find and count them without a full scan.
 
-Rules. The workers' own fields are the truth; whoever changes one calls `touch`. Everything else here is made
-of them, by `assess` (the policy's word on one worker: what room it has, is it silent, may it be counted on,
-and when does that change by the mere passing of time), and may be made anew from them at any time with the
-same effect: that is what a restored checkpoint does.
+Rules. The workers' own fields are authoritative; a change of one must be followed by `touch`. Everything else
+here is derived from them by `assess` (the policy's assessment of one worker: its room, whether it is silent,
+whether it is usable, and when that changes without an event). It can be rebuilt from them at any time with
+the same result, as a restored checkpoint does.
 
 Theory of operation.
 
-- `ring` is the fleet in an order of our own; `near`, whom we deal with, is a prefix of it, and an event
-  moves its end by a few places: an order statistic kept as counts on one side of a moving boundary. Whether
-  a worker is near is a flag on it.
-- What time alone changes (a rest that ends, a silence that begins, a cold worker that warms) stands in an
-  agenda; `advance` touches those whose moment has come. Another one tells which near worker may be due for a
-  probe.
-- Each worker has a slot, the smallest that is free, by which arrays and trees name it.
-- A touch appends the slot to a log, which tables of shares read (fleet.py).
-- What needs a look at all near workers (`survey`) is asked for seldom, and taken at most once a price step.
+- `ring` is the fleet in an order specific to this dispatcher. `near`, the workers that it uses, is a prefix
+  of the ring whose end an event moves by a few places: an order statistic kept as counts on one side of a
+  moving boundary. A flag on each worker says whether it is near.
+- Changes by time alone (a back-off that ends, a silence that begins, a cold worker that warms up) are
+  scheduled in an agenda; `advance` touches the workers that are due. Another agenda holds when each near
+  worker may be due for a probe.
+- Each worker has a slot, the smallest free number, which is its index in arrays and trees.
+- A touch that may change shares appends the slot to a log, which tables of shares read (fleet.py).
+- Totals over all near workers (`survey`) are needed rarely, and computed at most once per price step.
 """
 
 from __future__ import annotations
@@ -31,56 +31,56 @@
 from flintfield.decision.homes import Homes
 from flintfield.decision.interface import Entry, State, WorkerId
 from flintfield.decision.records import Survey, Worker
-from flintfield.decision.shares import Fill, Order, Shares, size_for
+from flintfield.decision.shares import Fill, Order, Shares, tree_size
 
 Assess = Callable[[Worker], tuple[float, bool, bool, bool, float]]
-"""Of a worker: its room in slots (-inf where nothing may be sent), is it silent, may it be counted on for a
-class's needs, may its price step, and when one of these changes though nothing is heard."""
+"""Assesses a worker: its room in slots (-inf if nothing may be sent), whether it is silent, whether it is
+usable for a class's needs, whether its price may change, and when one of these changes without an event."""
 
-USABLE, SILENT, ROOMY = 1, 2, 4  # bits of a near worker
-SOME_ROOM = 0.5  # slots from which on a worker counts as roomy
+USABLE, SILENT, ROOMY = 1, 2, 4  # flag bits of a near worker
+ROOMY_SLOTS = 0.5  # free slots from which a worker counts as roomy
 
 
 class Roster:
-    """All listed workers. `now` is set by whoever hands over an event, before anything else."""
+    """All listed workers. The caller sets `now` (by `advance`) before it processes an event."""
 
     def __init__(self, assess: Assess, fill: Fill, kinds: Iterable[int | None]) -> None:
         self._assess, self._fill, self._kinds = assess, fill, tuple(dict.fromkeys(kinds))
         self.now = -math.inf
         self.workers: dict[WorkerId, Worker] = {}
         self.ring: list[Worker] = []  # all workers by rank
-        self.cut = 0  # so many of them are near
+        self.cut = 0  # how many workers at the start of the ring are near
         self.tables: dict[Order, Shares] = {}
-        self._ranks: list[float] = []  # of the ring, for finding a place in it
+        self._ranks: list[float] = []  # ranks of the ring's workers, for bisection
         self._slots: list[Worker | None] = []
-        self._size = 1  # of trees that have room for all slots
-        self._free: list[int] = []  # slots below the end that are free, smallest first
-        self._log: list[int] = []  # slots whose shares may have changed; the first is number `_start`
+        self._size = 1  # size of a tree with room for all slots
+        self._free: list[int] = []  # heap of free slots below the end of `_slots`
+        self._log: list[int] = []  # slots whose shares may have changed; the first has number `_start`
         self._start = 0
-        self._floors: list[float] = []  # the rooms from which on tables take a worker, ascending
-        self._wakes: Agenda[int] = Agenda()
-        self._counts: Counter[Any] = Counter()  # near workers by bit, by kind if usable, by class if shunning
-        self._fits: Counter[int] = Counter()  # listed workers by kind
+        self._floors: list[float] = []  # minimum room of a worker for each table, ascending
+        self._time_changes: Agenda[int] = Agenda()
+        self._counts: Counter[Any] = Counter()  # near workers by bit, by kind if usable, by avoided class
+        self._ready_by_kind: Counter[int] = Counter()  # ready workers by kind
         self._groups: dict[tuple[str, int], dict[int, Worker]] = {}  # by zone and by cell
-        self._homes: dict[bool, Homes] = {}  # of the near, of all
-        self._asks: Agenda[int] = Agenda()  # of near workers, by slot
-        self._moving: set[int] = set()  # slots of near workers whose price may step
-        self._unseen: list[Worker] = []  # that were listed since the last sizing-up
-        self._survey: Survey | None = None  # of this price step, if it was taken
+        self._homes: dict[bool, Homes] = {}  # True: of the near workers, False: of all
+        self._probe_times: Agenda[int] = Agenda()  # when near workers may be due for a probe, by slot
+        self._price_changing: set[int] = set()  # slots of near workers whose price may change
+        self._newly_listed: list[Worker] = []  # listed since the near set was last resized
+        self._survey: Survey | None = None  # cached for this price step
 
     # --------------------------------------------------------------- membership
 
     @property
     def near(self) -> list[Worker]:
-        """The start of the ring, whom we deal with."""
+        """The workers that this dispatcher uses: the start of the ring."""
         return self.ring[:self.cut]
 
     def take_list(self, entries: Iterable[Entry], whole: bool,
-                  meet: Callable[[Entry], Worker]) -> Iterator[tuple[Worker, Entry]]:
-        """Take in a list, the whole of it or changes; `meet` makes a worker that was not listed.
+                  make_worker: Callable[[Entry], Worker]) -> Iterator[tuple[Worker, Entry]]:
+        """Apply a server list, complete or changes only; `make_worker` creates a worker that was not listed.
 
-        Gives each worker of which the list says something else now, with what it said before; they are to be
-        touched, and `size_up` is to follow.
+        Yields each worker whose entry changed, with its previous entry. The caller must touch these workers
+        and then call `resize_near`.
         """
         if whole:
             entries = list(entries)
@@ -92,7 +92,7 @@
             if entry.state is State.GONE:
                 self._remove(entry.worker)
             elif worker is None:
-                self._add(meet(entry))
+                self._add(make_worker(entry))
             elif entry != worker.entry:
                 before = worker.entry
                 self._count(worker, 0, ())
@@ -105,7 +105,7 @@
         worker.slot = heapq.heappop(self._free) if self._free else len(self._slots)
         if worker.slot == len(self._slots):
             self._slots.append(None)
-            self._size = size_for(len(self._slots))
+            self._size = tree_size(len(self._slots))
         self._slots[worker.slot] = worker
         self.workers[worker.entry.worker] = worker
         at = bisect.bisect_right(self._ranks, worker.rank)
@@ -115,10 +115,10 @@
         self.cut += worker.near
         self._group(worker, worker.entry)
         self._homes.clear()
-        self._unseen.append(worker)
+        self._newly_listed.append(worker)
 
     def _remove(self, number: WorkerId) -> None:
-        """Forget a worker that is not listed any more; attempts that are still out may go on naming it."""
+        """Remove a worker that is no longer listed; running attempts may still refer to it."""
         worker = self.workers.pop(number, None)
         if worker is None:
             return
@@ -131,21 +131,21 @@
         self._ungroup(worker)
         self._slots[worker.slot] = None
         heapq.heappush(self._free, worker.slot)
-        self._wakes.drop(worker.slot)
-        self._asks.drop(worker.slot)
-        self._moving.discard(worker.slot)
-        self._note(worker.slot)
+        self._time_changes.drop(worker.slot)
+        self._probe_times.drop(worker.slot)
+        self._price_changing.discard(worker.slot)
+        self._log_change(worker.slot)
         self._homes.clear()
         worker.slot, worker.near = -1, False
 
     def _group(self, worker: Worker, entry: Entry) -> None:
-        self._fits[entry.kind] += entry.state is State.READY
+        self._ready_by_kind[entry.kind] += entry.state is State.READY
         for group in (("zone", entry.zone), ("cell", entry.cell)):
             self._groups.setdefault(group, {})[worker.slot] = worker
 
     def _ungroup(self, worker: Worker) -> None:
         entry = worker.entry
-        self._fits[entry.kind] -= entry.state is State.READY
+        self._ready_by_kind[entry.kind] -= entry.state is State.READY
         for group in (("zone", entry.zone), ("cell", entry.cell)):
             del self._groups[group][worker.slot]
             if not self._groups[group]:
@@ -156,19 +156,20 @@
         return self._groups.get(group, {}).values()
 
     def ready(self, kind: int | None) -> int:
-        """How many listed workers of that kind, or of all, are ready."""
-        return self._fits.total() if kind is None else self._fits[kind]
+        """How many listed workers of that kind (None: of any kind) are ready."""
+        return self._ready_by_kind.total() if kind is None else self._ready_by_kind[kind]
 
-    def size_up(self, enough: int) -> None:
-        """Near: the shortest start of the ring with so many usable workers for each kind that is needed."""
-        before, unseen, self._unseen = self.cut, self._unseen, []
+    def resize_near(self, enough: int) -> None:
+        """Resize the near set to the shortest prefix of the ring with `enough` usable workers of each needed
+        kind."""
+        before, unseen, self._newly_listed = self.cut, self._newly_listed, []
         for worker in unseen:
             if worker.near:
                 self.touch(worker)
-        while self.cut < len(self.ring) and self._lacks(enough):
-            self._move(self.ring[self.cut], True)
-        while self.cut > 0 and self._spare(self.ring[self.cut - 1], enough):
-            self._move(self.ring[self.cut - 1], False)
+        while self.cut < len(self.ring) and self._needs_more(enough):
+            self._set_near(self.ring[self.cut], True)
+        while self.cut > 0 and self._can_exclude(self.ring[self.cut - 1], enough):
+            self._set_near(self.ring[self.cut - 1], False)
         if self.cut != before:
             self._homes.clear()
         for worker in unseen:
@@ -176,20 +177,21 @@
                 self.touch(worker)
         self._survey = None
 
-    def _lacks(self, enough: int, without: tuple[int | None, ...] = ()) -> bool:
-        """Whether some needed kind has too few usable workers near, or would have with one less of these."""
+    def _needs_more(self, enough: int, without: tuple[int | None, ...] = ()) -> bool:
+        """Whether a needed kind has too few usable near workers, or would have with one fewer of each kind in
+        `without`."""
         for kind in self._kinds:
             usable = self._counts[USABLE if kind is None else ("kind", kind)]
             if usable - (kind in without) < enough:
                 return True
         return False
 
-    def _spare(self, last: Worker, enough: int) -> bool:
-        """Whether all kinds have enough usable workers without the last one."""
-        return not self._lacks(enough, (None, last.entry.kind) if last.bits & USABLE else ())
+    def _can_exclude(self, last: Worker, enough: int) -> bool:
+        """Whether each needed kind has enough usable near workers without the last one."""
+        return not self._needs_more(enough, (None, last.entry.kind) if last.bits & USABLE else ())
 
     def rerank(self, ranks: Mapping[WorkerId, float]) -> None:
-        """These workers stand elsewhere in our order from now on; `size_up` is to follow. O(n log n)."""
+        """Change the ranks of these workers; the caller must then call `resize_near`. O(n log n)."""
         for number, rank in ranks.items():
             self.workers[number].rank = rank
         self.ring.sort(key=lambda w: w.rank)
@@ -201,12 +203,12 @@
         self._homes.clear()
 
     def reach(self, count: int) -> None:
-        """So many of the ring's first are near at the least, until the next sizing-up."""
+        """Make at least the first `count` workers of the ring near, until the next `resize_near`."""
         while self.cut < min(count, len(self.ring)):
-            self._move(self.ring[self.cut], True)
+            self._set_near(self.ring[self.cut], True)
         self._homes.clear()
 
-    def _move(self, worker: Worker, near: bool) -> None:
+    def _set_near(self, worker: Worker, near: bool) -> None:
         worker.near = near
         self.cut += 1 if near else -1
         self.touch(worker, True)
@@ -214,32 +216,35 @@
     # ------------------------------------------------------------------- touches
 
     def touch(self, worker: Worker, rated: bool = False) -> None:
-        """A worker's fields have changed, or time has. `rated`: its price or quality may be another."""
+        """Update the indices after a change of a worker's fields or of the time.
+
+        `rated`: its price or quality may have changed.
+        """
         slot, now, shuns, had = worker.slot, self.now, worker.shunned, worker.room
         if slot < 0:
             return
         room, silent, usable, moves, changes_at = self._assess(worker)
         worker.room = room
         if changes_at < math.inf:
-            self._wakes.put(slot, changes_at if changes_at > now else math.nextafter(now, math.inf))
-        elif slot in self._wakes.live:
-            self._wakes.drop(slot)
+            self._time_changes.put(slot, changes_at if changes_at > now else math.nextafter(now, math.inf))
+        elif slot in self._time_changes.live:
+            self._time_changes.drop(slot)
         if shuns or worker.avoided:
             avoided = tuple([c for c, until in shuns.items() if now < until])
             rated, worker.avoided = rated or avoided != worker.avoided, avoided
         bits = 0
         if worker.near:
-            bits = (usable and USABLE) | (silent and SILENT) | (room >= SOME_ROOM and ROOMY)
+            bits = (usable and USABLE) | (silent and SILENT) | (room >= ROOMY_SLOTS and ROOMY)
             if moves:
-                self._moving.add(slot)
-            if not worker.probing and slot not in self._asks.live:
-                self._asks.put(slot, now)
+                self._price_changing.add(slot)
+            if not worker.probing and slot not in self._probe_times.live:
+                self._probe_times.put(slot, now)
         counted = worker.avoided if worker.near and not silent else ()
         if bits != worker.bits or counted != worker.counted:
             self._count(worker, bits, counted)
         if self._floors and (rated or (
                 room != had and bisect.bisect(self._floors, room) != bisect.bisect(self._floors, had))):
-            self._note(slot)
+            self._log_change(slot)
 
     def _count(self, worker: Worker, bits: int, shunning: tuple[int, ...]) -> None:
         counts, kind = self._counts, ("kind", worker.entry.kind)
@@ -252,26 +257,26 @@
             counts["shuns", cls] += 1
         worker.bits, worker.counted = bits, shunning
 
-    def _note(self, slot: int) -> None:
+    def _log_change(self, slot: int) -> None:
         if not self._floors:
-            return  # nobody reads
+            return  # no table reads the log
         self._log.append(slot)
         if len(self._log) > 2 * len(self._slots) + 64:
             self._start += len(self._log)
             self._log.clear()
 
     def advance(self, now: float) -> None:
-        """Time has come to `now`: touch whom that changes."""
+        """Set the time to `now`, and touch the workers that this changes."""
         self.now = now
-        if self._wakes.is_due(now):
-            for slot in self._wakes.take_due(now):
+        if self._time_changes.is_due(now):
+            for slot in self._time_changes.pop_all_due(now):
                 worker = self._slots[slot]
                 if worker is not None:
                     self.touch(worker)
 
     def next_wake(self) -> float:
-        """When time alone will change a worker; infinity if never."""
-        at = self._wakes.next_at()
+        """When the next worker changes by time alone; infinity if none does."""
+        at = self._time_changes.next_at()
         return math.inf if at is None else at
 
     @property
@@ -284,6 +289,6 @@
         """How many near workers are silent."""
         return self._counts[SILENT]
 
-    def willing(self, cls: int) -> bool:
-        """Whether some near worker that is not silent does not shun that class."""
+    def is_any_willing(self, cls: int) -> bool:
+        """Whether some near worker that is not silent is not avoided by that class."""
         return self.cut - self._counts[SILENT] > self._counts["shuns", cls]
--- a/flintfield/decision/settings.py
+++ b/flintfield/decision/settings.py
@@ -1,6 +1,6 @@
-"""What a dispatcher is told before its first event, and the words that settings, events and actions share.
+"""The settings of a dispatcher, and the types that settings, events and actions share.
 
-Read from interface.py, which is the module's door. Times are milliseconds.
+interface.py re-exports them; import them from there. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request would do."""
+    """What the repetition of a request does."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,7 +22,7 @@
 
 
 class Group(Enum):
-    """Which workers drop the repeats of a keyed request."""
+    """Which workers discard the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,7 +37,7 @@
     FULL = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    UNSENT = "unsent"  # connected, but it broke or said nothing before the request was whole
+    UNSENT = "unsent"  # connected, but the connection broke or was silent before the request was sent whole
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
@@ -48,7 +48,7 @@
 
 
 class State(Enum):
-    """What the server list says of a worker."""
+    """A worker's state according to the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -56,7 +56,7 @@
 
 
 class ListMode(Enum):
-    """How a server list is to be read."""
+    """How to interpret a server list."""
 
     DELTA = "delta"
     FULL = "full"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request; `stretch` times its work is added to the aim."""
+    """One class of request; its latency target is `aim_ms` plus `stretch` times its work."""
 
     aim_ms: float
     deadline_ms: float
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A paying party; `allowance_per_s` is for all dispatchers together."""
+    """A paying customer; `allowance_per_s` applies to all dispatchers together."""
 
     allowance_per_s: float
     portion: float = 0.0
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits a dispatcher to do."""
 
     max_attempts: int = 3
     probes: bool = True
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the four rules."""
+    """Parameters of the four rules."""
 
     answer_slack_ms: float = 0.0
     ask_within_ms: float = 10_000.0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of the result for each unit of a side effect."""
+    """Cost of each unit of a side effect, in points of the result."""
 
     cross_zone: float = 0.0
     origin: float = 0.0
@@ -128,17 +128,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told before its first event.
-
-    `me` is its number from 0 among `dispatchers`, by which it picks the workers it deals with; a count
-    that proves wrong, as when some are dead, costs evenness alone. `zone` is where it stands.
-    `over_share_worth` is the worth of a request beyond its tenant's allowance, as a part of its class's.
-    `ask_list`: news of workers come only when asked for; `pushed`: they count as told all the same.
-    `first_word_ms`: for how long nothing goes out by a list that may lack what counts as told (asking.py).
-    `has_weights`: the list tells sizes, which then stand for quality. `reports`: workers tell their load when
-    probed, and with `reports_in_answers` in each outcome too. `tells_start`: a note comes when a job starts.
-    `worth_by_work`: a request is worth its class's worth times its work. `resolution_ms`: the shortest time
-    between the clocks of two events.
+    """All settings of a dispatcher.
+
+    `me` is its number from 0 among `dispatchers`, by which it chooses the workers that it uses; a wrong
+    count, for example when some are down, only makes the load less even. `zone` is its location.
+    `over_share_worth` is the worth of a request beyond its tenant's allowance, as a fraction of its class's.
+    `ask_list`: the server list is delivered only on request; `pushed`: its news take effect all the same.
+    `first_word_ms`: for how long no job is sent by a list that may lack news in effect (asking.py).
+    `has_weights`: the list gives sizes, which are then used as quality. `reports`: workers report their load
+    when probed, and with `reports_in_answers` in each outcome too. `tells_start`: a note is delivered when a
+    job starts. `worth_by_work`: a request's worth is its class's worth times its work. `resolution_ms`: the
+    shortest time between the clocks of two events.
     """
 
     classes: tuple[RequestClass, ...]
@@ -161,8 +161,8 @@
     prices: Prices = field(default_factory=Prices)
 
     def longest_unasked_ms(self) -> float:
-        """The longest wait between two calls for the list that fail. Where lists are pushed, what a call that
-        goes through brings has counted since it was there: half of a drain's grace is left to act on it."""
+        """The longest wait between two failed calls for the list. If lists are pushed, the news that a call
+        delivers took effect when they occurred; this leaves half of a drain's grace time to act on them."""
         return self.rules.drain_grace_ms / 2 if self.pushed else math.inf
 
     def unsafe(self) -> tuple[int, ...]:
@@ -170,13 +170,13 @@
         return tuple(i for i, c in enumerate(self.classes) if c.effect is Effect.UNSAFE)
 
     def __post_init__(self) -> None:
-        """Settings that cannot be right are the caller's error."""
+        """Raise ValueError for invalid settings."""
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one is required")
         if self.dispatchers < 1:
-            raise ValueError("dispatchers: at least one is needed")
+            raise ValueError("dispatchers: must be at least 1")
         if not 0 <= self.me < self.dispatchers:
-            raise ValueError("me: not among the dispatchers")
+            raise ValueError("me: must be from 0 to dispatchers - 1")
         named: list[tuple[str, Any]] = [("rules", self.rules), ("limits", self.limits)]
         named += [(f"classes[{i}]", c) for i, c in enumerate(self.classes)]
         named += [(f"tenants[{i}]", t) for i, t in enumerate(self.tenants)]
@@ -184,4 +184,4 @@
             for item in fields(part):
                 value = getattr(part, item.name)
                 if isinstance(value, int | float) and value < 0:
-                    raise ValueError(f"{where}.{item.name}: negative")
+                    raise ValueError(f"{where}.{item.name}: must not be negative")
--- a/flintfield/decision/shares.py
+++ b/flintfield/decision/shares.py
@@ -1,18 +1,19 @@
-"""Shares of one sort of job over the workers that may take it, kept up by changes and drawn in O(log n).
-
-Theory of operation. Eq. (7)'s shares are η = [θ/(φ+λ) − 1/ζ]⁺ in units of the equal share, with one λ for
-which they sum to the number of workers. The formula itself is the policy's (`Fill`). Given λ each share is
-its own worker's affair: when a worker fills up, frees a slot or changes its price, its leaf in a sum tree is
-set anew and the rest stands. λ is found anew by a walk over all (`split`) only when it has become wrong:
-when the shares' sum is off the number of workers by `OFF`, when that number has moved by `MOVED`, or after
-`KEEP_MS`.
-
-How far a draw may be off: shares move alike with λ, so the distribution drawn from is at most `OFF` in total
-variation from that at the right λ; the mean of ζ, which is held between walks, adds what it has moved.
-
-Weighed and rejected: an alias table (a draw in O(1), but any change costs O(n)); a static table with
-rejection (a full fleet makes it loop); a Fenwick tree (its sums drift with the order of changes, so that a
-restored state would not draw the same; here a leaf's ancestors are summed from the leaves, whatever the
+"""Shares of one kind of job over its eligible workers, updated incrementally and drawn from in O(log n).
+
+Theory of operation. The shares of eq. (7) are η = [θ/(φ+λ) − 1/ζ]⁺ in units of the equal share, with the λ
+for which they sum to the number of workers. The formula itself is supplied by the policy (`Fill`). For a
+given λ each share depends on its own worker alone: when a worker fills up, frees a slot or changes its price,
+only its leaf in a sum tree is updated. λ is recomputed over all workers (`split`) only when it is out of
+date: when the sum of the shares differs from the number of workers by more than `MAX_SUM_ERROR`, when that
+number has changed by more than `MAX_COUNT_CHANGE`, or after `MAX_LAMBDA_AGE_MS`.
+
+Error of a draw: all shares move in the same direction with λ, so the distribution is within `MAX_SUM_ERROR`
+in total variation of that at the exact λ; the mean of ζ, which is constant between recomputations, adds its
+change.
+
+Rejected alternatives: an alias table (a draw in O(1), but any change costs O(n)); a static table with
+rejection (loops when the fleet is full); a Fenwick tree (its sums drift with the order of changes, so that a
+restored state would draw differently; here inner nodes are always computed from the leaves, whatever the
 history).
 """
 
@@ -28,36 +29,36 @@
 Goods = Sequence[tuple[float, float]]  # price and quality of each worker
 Fill = Callable[[float, float, float, Goods], list[float]]  # (θ, λ, mean quality, goods): the shares
 Order = tuple[bool, int | None, float, float, int]
-"""A sort of job: near workers alone?, their kind or None, θ, slots, class whose shunners are left out or
--1."""
+"""A kind of job: whether only near workers are eligible, the workers' kind or None, θ, slots, and the class
+for which workers that it avoids are excluded, or -1."""
 
-OFF = 0.05
-MOVED = 1 / 8
-KEEP_MS = 1_000.0
-EXACT = 1e-3  # how far the sum may be off after a walk, as a part
-LEAST = 1e-12  # the weight of a worker whose share is 0: it is drawn where nobody else is left
-MOST_STEPS = 60
-FEW = 16  # members of which there are fewer than such a part of a tree are set one by one
-MOST_TRIES = 32  # workers drawn in vain before all are looked at
+MAX_SUM_ERROR = 0.05
+MAX_COUNT_CHANGE = 1 / 8
+MAX_LAMBDA_AGE_MS = 1_000.0
+SUM_TOLERANCE = 1e-3  # relative tolerance of the sum after `split`
+MIN_WEIGHT = 1e-12  # weight of a worker whose share is 0: it is drawn only if no other is left
+MAX_ITERATIONS = 60
+SPARSE_FACTOR = 16  # if members × this is below the tree's size, leaves are set one by one
+MAX_EXCLUDED = 32  # rejected draws before all workers are evaluated
 
 
 def split(fill: Fill, theta: float, goods: Goods, hint: float = math.inf) -> tuple[float, list[float]]:
-    """λ and the shares, which sum to their number within `EXACT`; `hint` is a λ that may be near.
+    """λ and the shares, which sum to their number within `SUM_TOLERANCE`; `hint` is an approximate λ.
 
-    Without a hint the first guess is right where all prices are equal and no share is 0. The sum falls as λ
-    grows, and 1 / (sum + n) is nearly a line in λ: so secants of that, kept in a bracket by halving.
+    Without a hint the initial guess is exact if all prices are equal and no share is 0. The sum decreases in
+    λ, and 1 / (sum + n) is nearly linear in λ, so the secant method is applied to it, bracketed by bisection.
     """
     n, mean = len(goods), sum([z for _, z in goods]) / len(goods)
-    pole = low = -min(goods)[0]  # the sum grows without bound there
+    pole = low = -min(goods)[0]  # the sum is unbounded there
     high, lam = math.inf, hint
     if not pole < lam < math.inf:
         level = sum([p for p, _ in goods]) / n
         lam = max(theta * n / (n + mean * sum([1 / z for _, z in goods])) - level, pole + theta / 16)
     before: tuple[float, float] | None = None
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_ITERATIONS):
         eta = fill(theta, lam, mean, goods)
         total = sum(eta)
-        if abs(total - n) <= EXACT * n:
+        if abs(total - n) <= SUM_TOLERANCE * n:
             break
         low, high = (lam, high) if total > n else (low, lam)
         line = 1 / (total + n)
@@ -72,39 +73,39 @@
     return lam, eta
 
 
-def able(order: Order, workers: Iterable[Worker]) -> list[Worker]:
-    """Those to which such a job may be sent: they have the room, and the job can pay them."""
-    near, kind, theta, slots, shy = order
+def eligible(order: Order, workers: Iterable[Worker]) -> list[Worker]:
+    """The workers to which such a job may be sent: they have room at a price that the job can pay."""
+    near, kind, theta, slots, avoided_class = order
     floor = slots - 0.5
     return [w for w in workers if w.room >= floor and w.price <= theta and (w.near or not near)
-            and (kind is None or w.entry.kind == kind) and shy not in w.avoided]
+            and (kind is None or w.entry.kind == kind) and avoided_class not in w.avoided]
 
 
-def goods_of(workers: Iterable[Worker], pace: float) -> list[tuple[float, float]]:
-    """φ and ζ of workers; the unmeasured take the pace given."""
+def prices_and_qualities(workers: Iterable[Worker], pace: float) -> list[tuple[float, float]]:
+    """φ and ζ of workers; `pace` is assumed for those that were not measured."""
     return [(w.price, w.zeta or w.health / pace) for w in workers]
 
 
-def step_down(slots: float) -> float:
-    """Slots rounded down to one of four steps to each power of two: jobs of odd sizes make few tables."""
+def round_down_slots(slots: float) -> float:
+    """Slots rounded down to one of four steps per power of two, to keep the number of tables small."""
     part, power = math.frexp(slots)
     return math.ldexp(math.floor(part * 8) / 8, power)
 
 
-def size_for(positions: int) -> int:
-    """The size of a tree with so many positions."""
+def tree_size(positions: int) -> int:
+    """The size of a tree with at least this many positions: a power of two."""
     return 1 << max(0, positions - 1).bit_length()
 
 
 class SumTree:
-    """Weights by position, their sum, and the position at which a part of the sum falls."""
+    """Weights by position, with their sum and the lookup of a position by cumulative weight."""
 
     __slots__ = ("_sums", "size")
 
     def __init__(self, size: int) -> None:
-        """`size`: how many positions; a power of two."""
+        """`size`: the number of positions; a power of two."""
         self.size = size
-        self._sums = [0.0] * (2 * size)  # of node i the children are 2i and 2i + 1; leaves are the last half
+        self._sums = [0.0] * (2 * size)  # node i has the children 2i and 2i + 1; leaves are the second half
 
     @property
     def total(self) -> float:
@@ -112,7 +113,7 @@
         return self._sums[1]
 
     def weight(self, position: int) -> float:
-        """The weight there."""
+        """The weight of a position."""
         return self._sums[self.size + position]
 
     def set(self, position: int, weight: float) -> None:
@@ -134,8 +135,8 @@
             size //= 2
 
     def find(self, part: float) -> int:
-        """The position at which so much of the sum is reached; never one of weight 0 while there are
-        others."""
+        """The position at which the cumulative weight exceeds `part`; never one of weight 0 unless all
+        are."""
         sums, node, size = self._sums, 1, self.size
         while node < size:
             node *= 2
@@ -147,7 +148,7 @@
 
 
 class Shares:
-    """The shares of one sort of job; the fleet tells which workers have changed."""
+    """The shares of one kind of job; the fleet reports which workers have changed."""
 
     __slots__ = ("floor", "lam", "mean", "members", "order", "pace", "seen", "solved", "solved_at", "tree",
                  "used_at")
@@ -155,71 +156,74 @@
     def __init__(self, order: Order) -> None:
         self.order = order
         self.floor = order[3] - 0.5
-        self.members: dict[int, Worker] = {}  # by slot, those that may take such a job
-        self.lam, self.mean, self.pace = math.inf, 1.0, 1.0  # as of the last walk
-        self.solved, self.solved_at = -1, -math.inf  # how many workers there were at it, and when it was
+        self.members: dict[int, Worker] = {}  # eligible workers by slot
+        self.lam, self.mean, self.pace = math.inf, 1.0, 1.0  # as of the last `solve`
+        self.solved, self.solved_at = -1, -math.inf  # number of members at the last `solve`, and its time
         self.used_at = -math.inf
-        self.seen = -1  # how far we have read in the fleet's log; -1: nothing of it counts
+        self.seen = -1  # position in the fleet's log up to which it was read; -1: not built yet
         self.tree = SumTree(1)
 
     def is_off(self, now: float) -> bool:
-        """Whether λ has become wrong."""
+        """Whether λ is out of date."""
         count, solved = len(self.members), self.solved
-        return (abs(self.tree.total - count) > OFF * count or abs(count - solved) > MOVED * solved
-                or now - self.solved_at > KEEP_MS)
+        return (abs(self.tree.total - count) > MAX_SUM_ERROR * count
+                or abs(count - solved) > MAX_COUNT_CHANGE * solved
+                or now - self.solved_at > MAX_LAMBDA_AGE_MS)
 
     def update(self, fill: Fill, slots: Iterable[int], by_slot: Sequence[Worker | None]) -> None:
-        """The workers of these slots have changed, or have left them."""
+        """Update the shares of the workers in these slots, which have changed or were removed."""
         members, tree = self.members, self.tree
-        changed = able(self.order, [w for slot in slots if (w := by_slot[slot]) is not None])
+        changed = eligible(self.order, [w for slot in slots if (w := by_slot[slot]) is not None])
         weights = {w.slot: w for w in changed}
         for slot in slots:
             if slot not in weights and members.pop(slot, None) is not None:
                 tree.set(slot, 0.0)
         members.update(weights)
-        eta = fill(self.order[2], self.lam, self.mean, goods_of(changed, self.pace))
+        eta = fill(self.order[2], self.lam, self.mean, prices_and_qualities(changed, self.pace))
         for slot, share in zip(weights, eta, strict=True):
-            tree.set(slot, share if share > LEAST else LEAST)
+            tree.set(slot, share if share > MIN_WEIGHT else MIN_WEIGHT)
 
     def walk(self, fill: Fill, workers: Iterable[Worker], size: int) -> None:
-        """Look at all workers anew, with the λ of old."""
-        self.members = {w.slot: w for w in able(self.order, workers)}
+        """Rebuild the table from all workers, with the current λ."""
+        self.members = {w.slot: w for w in eligible(self.order, workers)}
         self.tree = SumTree(size)
-        eta = fill(self.order[2], self.lam, self.mean, goods_of(self.members.values(), self.pace))
+        eta = fill(self.order[2], self.lam, self.mean, prices_and_qualities(self.members.values(), self.pace))
         self._load(list(self.members), eta)
 
     def solve(self, fill: Fill, now: float, pace: float) -> None:
-        """Find λ anew among the members."""
-        slots = sorted(self.members)  # so that sums do not depend on who came when
+        """Recompute λ and the shares of the members."""
+        slots = sorted(self.members)  # so that sums do not depend on the order of arrival
         self.pace, self.solved, self.solved_at = pace, len(slots), now
         if slots:
-            goods = goods_of(map(self.members.__getitem__, slots), pace)
+            goods = prices_and_qualities(map(self.members.__getitem__, slots), pace)
             self.mean = sum([z for _, z in goods]) / len(goods)
             self.lam, eta = split(fill, self.order[2], goods, self.lam)
             self._load(slots, eta)
 
     def _load(self, slots: list[int], eta: list[float]) -> None:
         tree = self.tree
-        if len(slots) * FEW < tree.size:
+        if len(slots) * SPARSE_FACTOR < tree.size:
             for slot, share in zip(slots, eta, strict=True):
-                tree.set(slot, share if share > LEAST else LEAST)
+                tree.set(slot, share if share > MIN_WEIGHT else MIN_WEIGHT)
             return
         weights = [0.0] * tree.size
         for slot, share in zip(slots, eta, strict=True):
-            weights[slot] = share if share > LEAST else LEAST
+            weights[slot] = share if share > MIN_WEIGHT else MIN_WEIGHT
         tree.load(weights)
 
     def draw(self, generator: random.Random, by_slot: Sequence[Worker | None],
              allowed: Callable[[Worker], bool]) -> tuple[Worker | None, bool]:
-        """A worker by its share among those allowed, or None; and whether the search was cut short.
+        """Draw a worker by its share among those allowed, or None; and whether the search was cut short.
 
-        A worker that is not allowed is left out and the draw made again, which is the draw among the others;
-        but once their sum is off, or after `MOST_TRIES`, the caller is to look at all of them.
+        A worker that is not allowed is excluded and the draw repeated, which equals a draw among the others.
+        Once their sum is off by more than `MAX_SUM_ERROR`, or after `MAX_EXCLUDED` exclusions, the search is
+        cut short and the caller must evaluate all members.
         """
         tree, left_out, left = self.tree, list[tuple[int, float]](), len(self.members)
         try:
             while left > 0:
-                if left_out and (abs(tree.total - left) > OFF * left or len(left_out) >= MOST_TRIES):
+                if left_out and (abs(tree.total - left) > MAX_SUM_ERROR * left
+                                 or len(left_out) >= MAX_EXCLUDED):
                     return None, True
                 slot = tree.find(generator.random() * tree.total)
                 worker = by_slot[slot]
--- a/flintfield/decision/values.py
+++ b/flintfield/decision/values.py
@@ -1,4 +1,4 @@
-"""How values are declared that are made by the thousand a second."""
+"""A dataclass decorator for values that are created thousands of times a second."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass_transform(frozen_default=True)
 def value(declared: type[Value]) -> type[Value]:
-    """A dataclass that the type checker holds to be frozen.
+    """Declare a dataclass that the type checker treats as frozen.
 
-    At run time nothing checks that: a frozen dataclass sets each field through a call of its own, which makes
-    one with ten fields three times as dear to build.
+    This is not enforced at run time: a frozen dataclass sets each field by a separate call, which makes one
+    with ten fields three times as expensive to construct.
     """
     return dataclass(slots=True, unsafe_hash=True)(declared)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small hand-driven world for the dispatcher: no network, no clock, no bench."""
+"""A test harness that drives the dispatcher by hand, without network, real clock or benchmark."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def settings(effect: Effect = Effect.SAFE, **changes: Any) -> Settings:
-    """One class of the effect asked for; class fields may be given beside those of the settings."""
+    """Settings with one class of the given effect; `changes` may name fields of the class or the settings."""
     names = set(RequestClass.__dataclass_fields__)
     of_class = {k: changes.pop(k) for k in list(changes) if k in names and k != "kind"}
     cls = replace(RequestClass(aim_ms=500, deadline_ms=5_000, effect=effect, window_ms=2_000), **of_class)
@@ -28,7 +28,7 @@
 
 
 class World:
-    """Drives one dispatcher and keeps what it did."""
+    """Drives one dispatcher and records its actions."""
 
     def __init__(self, given: Settings, entries: list[Entry], seed: int = 1, free: float | None = 4) -> None:
         self.now, self.given = 1_000.0, given
@@ -41,7 +41,7 @@
                 self.feed(Probed(entry.worker, Outcome.OK, 1.0, Report(free=free)))
 
     def feed(self, event: Any) -> list[Action]:
-        """Hand over one event now and return the actions."""
+        """Pass one event to the dispatcher now and return its actions."""
         actions = self.dispatcher.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -50,14 +50,14 @@
         return actions
 
     def set(self, worker: int, **fields: float) -> None:
-        """Let a worker be known otherwise than by events."""
+        """Set fields of a worker's record directly, without an event."""
         known = self.dispatcher.workers[worker]
         for name, value in fields.items():
             setattr(known, name, value)
         self.dispatcher.fleet.touch(known, rated=True)
 
     def wait(self, ms: float, answer_probes: float | None = 4) -> list[Action]:
-        """Let time pass, ringing timers in order; probes are answered with so many free slots."""
+        """Advance the time, firing timers in order; probes are answered with this many free slots."""
         until, done = self.now + ms, []
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
@@ -71,13 +71,13 @@
         return done
 
     def request(self, rid: int, **fields: Any) -> list[Action]:
-        """A client's request with the class's whole deadline."""
+        """Feed a client's request with the class's full deadline."""
         cls = self.given.classes[fields.get("cls", 0)]
         return self.feed(Request(**{"rid": rid, "cls": 0, "deadline": self.now + cls.deadline_ms} | fields))
 
     def end(self, rid: int, worker: int, outcome: Outcome, attempt: int = 0, over: bool = False,
             report: Report | None = None) -> list[Action]:
-        """An attempt's outcome."""
+        """Feed an attempt's outcome."""
         return self.feed(AttemptEnded(rid, attempt, worker, outcome, 100.0, over, report))
 
 
@@ -87,5 +87,5 @@
 
 
 def sent_to(actions: list[Action]) -> list[int]:
-    """The workers that the sends name."""
+    """The workers that the `Send` actions name."""
     return [s.worker for s in only(actions, Send)]
--- a/tests/support/plain.py
+++ b/tests/support/plain.py
@@ -1,6 +1,7 @@
-"""A slow, plain reading of the design page: who may be sent a job now, and with what chance each is drawn.
+"""A slow reference implementation: the workers that may be sent a job now, and each one's probability.
 
-It reads the workers' own fields and the settings, uses no index, and walks everything for each question.
+It follows the design page, reads only the workers' own fields and the settings, and scans everything for each
+query instead of using an index.
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from flintfield.decision.cold import COLD_PART
 from flintfield.decision.interface import Effect, Group, State
 from flintfield.decision.knowing import PROBE_MS
-from flintfield.decision.placing import SPARE
+from flintfield.decision.placing import SPARE_SLOTS
 from flintfield.decision.policy import Dispatcher
 from flintfield.decision.pricing import START_MS, ZETA
 from flintfield.decision.records import Job, Worker, lot
 
 
 def is_silent(d: Dispatcher, worker: Worker) -> bool:
-    """No word though asked, or no connection taken."""
+    """Whether a worker has not answered a probe, or has refused a connection."""
     return d.asks and (worker.down or (worker.missed and d.now - worker.word > PROBE_MS))
 
 
 def warmth(d: Dispatcher, worker: Worker) -> float:
-    """The part of its capacity that a worker surely has by its age."""
+    """The fraction of its capacity that is assumed available at a worker's age."""
     rules = d.settings.rules
     if worker.born <= 0 or rules.cold_ms <= 0:
         return 1.0
@@ -31,7 +32,7 @@
 
 
 def has_room(d: Dispatcher, worker: Worker, slots: float) -> bool:
-    """Whether a slot is thought free, so that a job sent now would start at once."""
+    """Whether a slot is assumed free, so that a job sent now would start at once."""
     if any(a.at < d.now - START_MS for a in worker.pending):
         return False
     if d.now < worker.full_until or is_silent(d, worker):
@@ -40,12 +41,12 @@
 
 
 def pace(d: Dispatcher, worker: Worker) -> float:
-    """Running time for a unit of cost."""
+    """Run time per unit of cost."""
     return (worker.pace if worker.pace.count else d.pace).value or 1.0
 
 
 def cold_room(d: Dispatcher, worker: Worker, cost: float) -> bool:
-    """Rule 4, by the least that a near worker of its kind carries."""
+    """Rule 4, by the lowest capacity of the near workers of its kind."""
     if warmth(d, worker) >= 1.0:
         return True
     rules, n = d.settings.rules, d.settings.dispatchers
@@ -58,7 +59,7 @@
 
 
 def may_send(d: Dispatcher, job: Job, worker: Worker) -> bool:
-    """Rules 2, 3 and 4: may this job go to that worker now?"""
+    """Rules 2, 3 and 4: whether this job may be sent to that worker now."""
     cls, limits = d.settings.classes[job.request.cls], d.settings.limits
     if worker.entry.state is not State.READY or cls.kind not in (None, worker.entry.kind):
         return False
@@ -79,7 +80,7 @@
 
 
 def permitted(d: Dispatcher, job: Job, anywhere: bool = False) -> list[Worker]:
-    """The workers among which the job is drawn."""
+    """The workers among which the job's worker is drawn."""
     near = [w for w in d.workers.values() if w.near]
     cls, slots = d.settings.classes[job.request.cls], job.request.slots
     ready = [w for w in (d.workers.values() if anywhere else near)
@@ -90,12 +91,12 @@
 
         if any(not shuns(w) and not is_silent(d, w) for w in near):
             ready = [w for w in ready if not shuns(w)]
-        ready = [w for w in ready if has_room(d, w, slots + SPARE)] or ready
+        ready = [w for w in ready if has_room(d, w, slots + SPARE_SLOTS)] or ready
     return ready
 
 
 def quality(d: Dispatcher, worker: Worker) -> float:
-    """ζ: the list weight, else the inverse of running time per cost."""
+    """ζ: the list weight, else the inverse of run time per cost."""
     speed = worker.entry.weight if d.settings.has_weights else 1.0 / max(pace(d, worker), 1e-6)
     return max(speed, 1e-6) * worker.health
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Which jobs are taken when there is too little room: the age of wishes, repeats, prized jobs."""
+"""Admission under overload: the age of jobs, retries by clients, high-worth jobs."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 DEADLINE = 8_000.0
 
 
-def learned(*patiences: float, each: int = 40) -> Patience:
-    """Of one class, whose clients have these patiences."""
+def trained_patience(*times_left: float, each: int = 40) -> Patience:
+    """A `Patience` for one class that has seen `each` requests with each of these times left."""
     patience = Patience([DEADLINE])
     for _ in range(each):
-        for left in patiences:
+        for left in times_left:
             patience.age(0, left)
     return patience
 
 
-def test_a_wish_is_as_old_as_its_time_is_shorter_than_the_usual() -> None:
-    patience = learned(7_998.0)
+def test_a_retrys_age_is_the_common_time_minus_its_remaining_time() -> None:
+    patience = trained_patience(7_998.0)
     assert patience.age(0, 7_200.0) == pytest.approx(798.0)
     assert patience.age(0, 7_997.0) == pytest.approx(1.0)
 
 
-def test_clients_of_less_patience_are_not_held_for_old() -> None:
-    patience = learned(7_998.0, 3_000.0)
+def test_requests_of_clients_with_less_patience_are_not_treated_as_old() -> None:
+    patience = trained_patience(7_998.0, 3_000.0)
     assert patience.age(0, 3_000.0) == 0.0
     assert patience.age(0, 2_500.0) == pytest.approx(500.0)
     assert patience.age(0, 7_000.0) == pytest.approx(998.0)
 
 
-def test_nobody_is_old_before_anything_is_common_nor_where_nothing_is() -> None:
+def test_no_request_is_old_before_or_without_a_common_time() -> None:
     assert Patience([DEADLINE]).age(0, 100.0) == 0.0
     spread = Patience([DEADLINE])
     assert max(spread.age(0, DEADLINE * (n * 37 % 100) / 100) for n in range(400)) == 0.0
 
 
-def test_a_storm_of_repeats_does_not_make_them_look_new() -> None:
-    patience = learned(7_998.0)
+def test_a_storm_of_retries_does_not_make_them_look_new() -> None:
+    patience = trained_patience(7_998.0)
     for n in range(600):  # one first try in ten
         patience.age(0, 7_998.0 if n % 10 == 0 else 1_000.0 + n * 71 % 6_000)
     assert patience.age(0, 4_000.0) == pytest.approx(3_998.0)
 
 
-def test_what_clients_do_no_more_is_forgotten() -> None:
-    patience = learned(7_998.0, each=600)
+def test_old_client_patience_is_forgotten() -> None:
+    patience = trained_patience(7_998.0, each=600)
     for _ in range(4_000):
         patience.age(0, 3_000.0)
     assert patience.age(0, 2_900.0) == pytest.approx(100.0)
@@ -67,15 +67,15 @@
         assert 0.0 <= patience.age(0, left) <= max(0.0, max(times[:n + 1]) - left)
 
 
-def two_classes() -> Settings:
-    """Match lists, and bookings of ten times their worth."""
+def safe_and_unsafe_settings() -> Settings:
+    """A safe class, and an unsafe class of ten times its worth."""
     base = settings(deadline_ms=DEADLINE, aim_ms=600, stretch=2.0)
-    prized = RequestClass(aim_ms=400, deadline_ms=20_000, worth=10.0, stretch=2.0, effect=Effect.UNSAFE)
-    return replace(base, classes=(base.classes[0], prized))
+    high_worth = RequestClass(aim_ms=400, deadline_ms=20_000, worth=10.0, stretch=2.0, effect=Effect.UNSAFE)
+    return replace(base, classes=(base.classes[0], high_worth))
 
 
-def jammed(given: Settings, workers: int = 1) -> World:
-    """All slots are taken, and the patience of match lists is known."""
+def full_world(given: Settings, workers: int = 1) -> World:
+    """A world in which all slots are taken and the patience of the first class is known."""
     world = World(given, [Entry(n + 1) for n in range(workers)], free=1)
     for _ in range(32):
         world.dispatcher.patience.age(0, DEADLINE)
@@ -84,42 +84,42 @@
     return world
 
 
-def repeat(world: World, rid: int, waited: float, cls: int = 0) -> list[Action]:
-    """A client asks again, whose wish has waited for so long."""
+def retry(world: World, rid: int, waited: float, cls: int = 0) -> list[Action]:
+    """A client's retry, `waited` ms after its first try."""
     deadline = world.now + world.given.classes[cls].deadline_ms - waited
     return world.feed(Request(rid, cls, deadline, hint_ms=400.0))
 
 
-def test_a_repeat_that_is_too_late_is_refused_at_once_with_advice_while_room_is_short() -> None:
-    world = jammed(two_classes())
+def test_a_late_retry_is_refused_at_once_with_a_retry_time_while_room_is_short() -> None:
+    world = full_world(safe_and_unsafe_settings())
     world.request(1, hint_ms=400.0)
-    world.wait(1_400, answer_probes=0)  # the first is given up for want of room
-    actions = repeat(world, 2, 3_000.0)
+    world.wait(1_400, answer_probes=0)  # the first job is given up for lack of room
+    actions = retry(world, 2, 3_000.0)
     assert [r.rid for r in only(actions, Refuse)] == [2]
     assert only(actions, Refuse)[0].retry_after_ms > 0
 
 
-def test_a_repeat_that_is_too_late_is_served_where_room_is_to_spare() -> None:
-    world = World(two_classes(), [Entry(1), Entry(2)], free=3)
+def test_a_late_retry_is_served_if_there_is_spare_room() -> None:
+    world = World(safe_and_unsafe_settings(), [Entry(1), Entry(2)], free=3)
     for _ in range(32):
         world.dispatcher.patience.age(0, DEADLINE)
-    assert sent_to(repeat(world, 1, 3_000.0))
+    assert sent_to(retry(world, 1, 3_000.0))
 
 
-def test_a_repeat_that_can_be_in_time_is_taken_and_given_up_by_the_age_of_its_wish() -> None:
-    world = jammed(two_classes())
-    repeat(world, 1, 700.0)
+def test_a_timely_retry_is_accepted_and_given_up_by_its_age() -> None:
+    world = full_world(safe_and_unsafe_settings())
+    retry(world, 1, 700.0)
     world.request(2, hint_ms=400.0)
     world.wait(600, answer_probes=0)
     assert [r.rid for r in only([a for _, a in world.log], Refuse)] == [1]
 
 
-def test_room_goes_to_a_new_wish_before_a_late_one_that_came_back() -> None:
-    world = World(two_classes(), [Entry(1)], free=2)
+def test_room_goes_to_a_new_job_before_a_late_retry() -> None:
+    world = World(safe_and_unsafe_settings(), [Entry(1)], free=2)
     for _ in range(32):
         world.dispatcher.patience.age(0, DEADLINE)
     world.request(900, hint_ms=400.0)
-    assert sent_to(repeat(world, 1, 3_000.0)) == [1]
+    assert sent_to(retry(world, 1, 3_000.0)) == [1]
     world.end(1, 1, Outcome.FULL)
     world.request(2, hint_ms=400.0)
     world.now += 250
@@ -127,17 +127,17 @@
     assert [a.rid for a in only(actions, Send)][:1] == [2]
 
 
-def test_a_prized_job_queues_rather_than_be_refused_and_a_plain_one_does_not() -> None:
+def test_a_high_worth_job_queues_instead_of_being_refused_and_others_do_not() -> None:
     for cls, queues in ((0, False), (1, True)):
-        world = jammed(two_classes())
+        world = full_world(safe_and_unsafe_settings())
         assert not sent_to(world.request(1, cls=cls, hint_ms=400.0))
         sent = only(world.wait(1_400, answer_probes=0), Send)
         assert [s.rid for s in sent] == ([1] if queues else [])
 
 
-def test_of_held_prized_jobs_the_oldest_goes_first_and_of_plain_ones_the_newest() -> None:
+def test_held_high_worth_jobs_go_oldest_first_and_others_newest_first() -> None:
     for cls, first in ((0, 2), (1, 1)):
-        world = jammed(two_classes())
+        world = full_world(safe_and_unsafe_settings())
         for rid in (1, 2):
             world.request(rid, cls=cls, hint_ms=400.0)
             world.now += 1
@@ -146,6 +146,6 @@
 
 
 def test_patience_is_in_a_checkpoint() -> None:
-    world = jammed(two_classes())
+    world = full_world(safe_and_unsafe_settings())
     again = restore(world.given, save(world.dispatcher))
     assert again.patience.age(0, 7_000.0) == world.dispatcher.patience.age(0, 7_000.0) > 900.0
--- a/tests/test_agenda.py
+++ b/tests/test_agenda.py
@@ -1,10 +1,10 @@
-"""What is to be looked at when: against the plainest reading, and how much it keeps."""
+"""The agenda: compared with a plain dict, and its memory use."""
 
 from __future__ import annotations
 
 from hypothesis import given, strategies as st
 
-from flintfield.decision.agenda import SLACK, Agenda
+from flintfield.decision.agenda import STALE_ALLOWANCE, Agenda
 from test_memory import DONE, Memory
 from flintfield.memory.messages import BranchEnded, BranchUp
 
@@ -17,7 +17,7 @@
     for what, key, at in steps:
         if what == "p":
             if plain.get(key) != at:
-                plain.pop(key, None)  # a new time goes behind those of the same moment
+                plain.pop(key, None)  # a new time comes after equal times that were put earlier
             plain[key] = at
             agenda.put(key, at)
         elif what == "d":
@@ -27,32 +27,32 @@
             now += key
             due = sorted((k for k in plain if plain[k] <= now), key=lambda k: plain[k])
             assert agenda.is_due(now) or not due
-            assert list(agenda.take_due(now)) == due
+            assert list(agenda.pop_all_due(now)) == due
             plain = {k: at for k, at in plain.items() if k not in due}
         assert agenda.live == plain and agenda.next_at() == min(plain.values(), default=None)
     again = Agenda[int]()
     again.restore(agenda.kept(), 0.0)
-    assert list(again.take_due(99.0)) == list(agenda.take_due(99.0))
+    assert list(again.pop_all_due(99.0)) == list(agenda.pop_all_due(99.0))
 
 
-def test_what_is_dropped_is_not_kept() -> None:
+def test_dropped_entries_do_not_accumulate() -> None:
     agenda = Agenda[int]()
     for n in range(10_000):
         agenda.put(n, 20_000.0 + n)
         agenda.drop(n - 5)
-        assert len(agenda._heap) <= 2 * len(agenda) + SLACK + 1
+        assert len(agenda._heap) <= 2 * len(agenda) + STALE_ALLOWANCE + 1
     assert len(agenda) == 5
 
 
-def test_a_put_while_the_due_are_taken_is_seen() -> None:
+def test_a_put_during_iteration_over_due_keys_is_seen() -> None:
     agenda = Agenda[int]()
     for n in range(3):
         agenda.put(n, 1.0)
     taken = []
-    for key in agenda.take_due(5.0):
+    for key in agenda.pop_all_due(5.0):
         taken.append(key)
         if key < 3:
-            for other in range(100, 100 + 2 * SLACK):  # enough to make the heap anew
+            for other in range(100, 100 + 2 * STALE_ALLOWANCE):  # enough stale entries to rebuild the heap
                 agenda.put(other, 9.0)
                 agenda.drop(other)
             agenda.put(key + 10, 2.0)
--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -1,4 +1,4 @@
-"""The decision module's state, saved at any point and restored: it goes on as if nothing had been."""
+"""Checkpoints of the decision module: saved at any point and restored, it behaves identically."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 Seen = list[tuple[float, Event, list[Action]]]
 
 
-def look_on(state: State, seen: Seen) -> None:
+def install_tap(state: State, seen: Seen) -> None:
     state.tap = lambda now, event, actions: seen.append((now, event, list(actions)))
 
 
 def play(steps: list[int], settings: dict[str, Any]) -> Seen:
-    """What a decision module was told, and said, while a script of callers and next hops was played."""
+    """The events and actions of a decision module during a script of callers and next hops."""
     seen = Seen()
-    memory = Memory(3, lambda state: look_on(state, seen), **settings)
+    memory = Memory(3, lambda state: install_tap(state, seen), **settings)
     script = Script(memory)
     for n in steps:
         script.step(n)
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("settings", [{}, RICH], ids=["plain", "rich"])
 @given(steps=st.lists(st.integers(0, 999), min_size=5, max_size=80), part=st.floats(0, 1))
-def test_cut_anywhere_saved_and_restored_it_does_the_same(
+def test_a_restored_dispatcher_behaves_identically_from_any_point(
     settings: dict[str, Any], steps: list[int], part: float
 ) -> None:
     seen = play(steps, settings)
@@ -62,7 +62,7 @@
     assert save(second) == save(first)
 
 
-def test_objects_that_are_one_stay_one() -> None:
+def test_object_identity_is_preserved() -> None:
     world = World(world_settings(tells_start=True), [Entry(1), Entry(2)])
     for rid in range(12):
         world.request(rid)
@@ -76,7 +76,7 @@
     assert {id(w) for w in again.fleet.near + again.fleet.ring} == {id(w) for w in again.workers.values()}
 
 
-def test_a_state_beyond_the_room_is_given_up_early() -> None:
+def test_saving_a_state_over_the_limit_stops_early() -> None:
     world = World(world_settings(), [Entry(1)])
     save(world.dispatcher, 400)
     for rid in range(200):
@@ -89,7 +89,7 @@
     {}, {"fields": {}, "state": {}}, {"fields": 3},
     {"fields": {"Worker": []}, "state": {"workers": ["Worker", 1]}},
 ])
-def test_a_state_that_can_not_be_read_is_a_value_error(odd: dict[str, Any]) -> None:
+def test_a_malformed_state_raises_a_value_error(odd: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match="state"):
         restore(world_settings(), odd)
     saved = save(Dispatcher(world_settings(), 1))
@@ -98,9 +98,9 @@
             restore(world_settings(), saved | {"state": saved["state"] | {"random": broken}})
 
 
-def test_the_tap_sees_each_event_with_its_time_and_one_that_fails_is_let_go() -> None:
+def test_the_tap_sees_each_event_with_its_time_and_a_failing_tap_is_removed() -> None:
     seen = Seen()
-    memory = Memory(prepare=lambda state: look_on(state, seen))
+    memory = Memory(prepare=lambda state: install_tap(state, seen))
     memory.submit(1)
     assert [type(a) for _, e, actions in seen if isinstance(e, Request) for a in actions].count(Send) == 1
 
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -1,4 +1,4 @@
-"""What forty schedulers do that is harmless in one, and how what they count is summed."""
+"""Effects that appear only with many dispatchers, and the summing of their counts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 WITHIN_MS, CALL_MS, WAIT_MS = 10_000.0, 125.0, 1_000.0
 
 
-def play_asking(count: int, seconds: int) -> tuple[int, int, float]:
-    """So many dispatchers that all start at once ask one discovery, which does calls in turn. Those that have
-    waited too long fail, and their work is done in vain: how many watch at the end, how many calls there
-    were, and the longest between two of one."""
+def simulate_discovery_calls(count: int, seconds: int) -> tuple[int, int, float]:
+    """Simulate `count` dispatchers that start at once and call one discovery service, which serves calls in
+    sequence. Calls that wait too long fail, and the work done for them is lost. Returns how many dispatchers
+    watch at the end, the number of calls, and the longest time between two calls of one dispatcher."""
     generators = [random.Random(n) for n in range(count)]
     all_asking = [Asking(WITHIN_MS) for _ in range(count)]
     queue, busy_until, calls = deque[tuple[float, int]](), 0.0, 0
@@ -40,13 +40,13 @@
     return sum(a.watching for a in all_asking), calls, longest
 
 
-def test_forty_that_start_at_once_all_reach_a_discovery_that_takes_eight_calls_a_second() -> None:
-    watching, calls, longest = play_asking(40, 30)
+def test_forty_dispatchers_that_start_at_once_all_reach_a_discovery_with_eight_calls_a_second() -> None:
+    watching, calls, longest = simulate_discovery_calls(40, 30)
     assert watching == 40 and calls < 40 * 5
     assert longest < WITHIN_MS
 
 
-def test_one_that_is_alone_asks_again_soon() -> None:
+def test_a_single_dispatcher_retries_soon() -> None:
     asking = Asking(WITHIN_MS)
     assert asking.is_due(0.0) and not asking.is_due(10.0)
     asking.fail(10.0, random.Random(1))
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -1,4 +1,4 @@
-"""What a dispatcher has learned, taken over by the next one."""
+"""What a dispatcher has learned is saved and restored into another one."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 GIVEN = settings()
 
 
-def worked(entries: list[Entry]) -> World:
-    """A world in which worker 1 is quick and worker 2 slow, and both are known as such."""
+def trained_world(entries: list[Entry]) -> World:
+    """A world whose dispatcher has measured worker 1 as fast and worker 2 as slow."""
     world = World(GIVEN, entries, free=2)
     for rid in range(1, 60):
         for send in only(world.request(rid, hint_ms=None), Send):
@@ -30,8 +30,8 @@
     return [Entry(n, State.READY, **changes) for n in (1, 2)]
 
 
-def test_the_next_dispatcher_starts_from_the_last_ones_prices_and_paces() -> None:
-    old = worked(entries()).dispatcher
+def test_a_new_dispatcher_starts_from_the_saved_prices_and_paces() -> None:
+    old = trained_world(entries()).dispatcher
     new = World(GIVEN, entries(), free=None).dispatcher
     found = recall(new, json.loads(json.dumps(learned(old))))
     assert (found.workers, found.left_out) == (2, 0)
@@ -39,17 +39,17 @@
     assert new.workers[1].pace.value < new.workers[2].pace.value / 2 and not new.jobs and not new.attempts
 
 
-def test_what_was_recalled_is_drawn_by_at_once() -> None:
-    """Guards against figures that stand with the workers and are unknown to the indices made of them."""
+def test_draws_use_restored_figures_at_once() -> None:
+    """Restored figures must reach the fleet's indices, not only the workers' fields."""
     new = World(GIVEN, entries(), free=None)
-    recall(new.dispatcher, learned(worked(entries()).dispatcher))
+    recall(new.dispatcher, learned(trained_world(entries()).dispatcher))
     quick, slow = new.dispatcher.workers[1], new.dispatcher.workers[2]
     assert quick.zeta > 2 * slow.zeta > 0 and quick.room > 0
     assert only(new.request(1), Send)
 
 
-def test_a_worker_that_started_anew_or_is_not_known_is_left_out() -> None:
-    saved = learned(worked(entries()).dispatcher)
+def test_a_restarted_or_unlisted_worker_is_skipped() -> None:
+    saved = learned(trained_world(entries()).dispatcher)
     new = World(GIVEN, [Entry(1, State.READY, started_ms=5.0)], free=None).dispatcher
     found = recall(new, saved)
     assert (found.workers, found.left_out) == (0, 2) and new.workers[1].pace.count == 0
@@ -59,8 +59,8 @@
     {"form": 9}, {"workers": 3}, {"workers": [[1, 0.0, [1.0], [1.0, 1], [], []]]}, {"costs": []},
     {"pace": [float("nan"), 1]}, {"in_flight": -1.0}, {"pace": None},
 ])
-def test_what_cannot_be_read_changes_nothing(change: dict[str, Any]) -> None:
-    saved = learned(worked(entries()).dispatcher) | change
+def test_malformed_figures_change_nothing(change: dict[str, Any]) -> None:
+    saved = learned(trained_world(entries()).dispatcher) | change
     new = Dispatcher(GIVEN, 1)
     before = learned(new)
     with pytest.raises(ValueError, match="cannot be read"):
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,4 +1,4 @@
-"""The market's arithmetic: shares, prices, keys, held jobs, accounts."""
+"""Market computations: shares, prices, key affinity, held jobs, tenant accounts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def market_shares(theta: float, workers: list[tuple[float, float]]) -> list[float]:
-    """Each worker's part, of workers of (weight, price)."""
+    """Each worker's share as a fraction, for workers given as (weight, price)."""
     _, eta = split(shares_at, theta, [(price, weight) for weight, price in workers])
     return [e / sum(eta) for e in eta]
 
@@ -41,15 +41,15 @@
     assert min(eta) >= 0.0
 
 
-def gain(eta: list[float], theta: float, workers: list[tuple[float, float]]) -> float:
-    """Eq. (7)'s objective in units of the equal share."""
+def objective(eta: list[float], theta: float, workers: list[tuple[float, float]]) -> float:
+    """The objective of eq. (7), in units of the equal share."""
     n = len(workers)
     mean = sum(w for w, _ in workers) / n
     return sum(theta * log(1 + n * e * w / mean) - p * n * e for e, (w, p) in zip(eta, workers, strict=True))
 
 
 @given(WORKERS.filter(lambda w: len(w) > 1), st.floats(0.2, 1.0), st.integers(0, 11), st.integers(0, 11))
-def test_no_small_move_of_share_between_two_workers_does_better(
+def test_shares_are_optimal_under_small_moves_between_two_workers(
     workers: list[tuple[float, float]], theta: float, one: int, other: int
 ) -> None:
     eta = market_shares(theta, workers)
@@ -58,7 +58,7 @@
     step = min(0.01, moved[a])
     moved[a] -= step
     moved[b] += step
-    assert gain(moved, theta, workers) <= gain(eta, theta, workers) + 1e-3
+    assert objective(moved, theta, workers) <= objective(eta, theta, workers) + 1e-3
 
 
 def test_shares_rise_with_speed_and_fall_with_price() -> None:
@@ -66,7 +66,7 @@
     assert fast > slow > dear
 
 
-def test_the_price_rises_over_the_load_factor_and_comes_back_to_nothing() -> None:
+def test_the_price_rises_above_the_load_factor_and_falls_back_to_zero() -> None:
     world = World(settings(), [Entry(1)], free=10)
     worker = world.dispatcher.workers[1]
     world.set(1, others=10.0)
@@ -77,7 +77,7 @@
     assert worker.price == 0.0
 
 
-def test_a_worker_without_fresh_word_keeps_its_price() -> None:
+def test_a_worker_without_recent_contact_keeps_its_price() -> None:
     world = World(settings(), [Entry(1)])
     worker = world.dispatcher.workers[1]
     world.set(1, price=0.4)
@@ -95,7 +95,7 @@
     assert len(set.union(*homes.values())) >= 6
 
 
-def test_jobs_wait_here_while_no_slot_is_free_and_the_newest_goes_first() -> None:
+def test_jobs_are_held_while_no_slot_is_free_and_the_newest_goes_first() -> None:
     world = World(settings(), [Entry(1)], free=2)
     assert [len(sent_to(world.request(n))) for n in (1, 2, 3, 4)] == [1, 1, 0, 0]
     world.now += 10
@@ -111,7 +111,7 @@
     assert [r.rid for r in only([a for _, a in world.log], Refuse)] == [2]
 
 
-def test_a_job_that_does_not_start_closes_its_worker_until_it_does() -> None:
+def test_no_job_is_sent_to_a_worker_while_one_waits_to_start_there() -> None:
     world = World(settings(tells_start=True), [Entry(1)], free=4)
     world.request(1)
     world.now += 60
@@ -127,11 +127,11 @@
     for number in world.dispatcher.workers:
         world.set(number, price=0.2)
     flood = sum(len(sent_to(world.request(n, tenant=0))) for n in range(36))
-    assert flood == 22  # two seconds of the allowance at once and a few jobs more
+    assert flood == 22  # two seconds of the allowance plus the burst of 12 jobs
     assert sent_to(world.request(100, tenant=1))
 
 
-def test_our_part_of_a_queue_counts_where_dispatchers_are_many() -> None:
+def test_only_a_part_of_a_queue_counts_when_there_are_many_dispatchers() -> None:
     world = World(settings(dispatchers=30), [Entry(1)], free=4)
     for _ in range(30):
         world.feed(Probed(1, Outcome.OK, 1.0, Report(free=1, queue=9, inflight=12)))
@@ -142,7 +142,7 @@
     assert not sent_to(alone.request(1))
 
 
-def test_a_silent_worker_draws_no_jobs_and_comes_back_cold() -> None:
+def test_a_silent_worker_gets_no_jobs_and_returns_cold() -> None:
     world = World(settings(), [Entry(1), Entry(2)], free=4)
     world.wait(600, answer_probes=None)
     world.feed(Probed(1, Outcome.TIMEOUT, 100.0))
@@ -179,7 +179,7 @@
     assert len([a for _, a in world.log if isinstance(a, Refuse | Fail)]) == 2
 
 
-def test_settings_that_can_not_be_right_name_the_field() -> None:
+def test_errors_for_invalid_settings_name_the_field() -> None:
     with pytest.raises(ValueError, match="classes"):
         Settings(classes=())
     with pytest.raises(ValueError, match="me"):
@@ -209,7 +209,7 @@
     assert list(seen.values()) == [4]
 
 
-def test_the_module_stays_readable() -> None:
+def test_the_policy_files_stay_within_their_line_limit() -> None:
     named = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     lines = [line for name in named for line in (ROOT / name).read_text().splitlines()]
     assert len([line for line in lines if line.strip()]) <= 500
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(("effect", "ends"), [(Effect.UNSAFE, 1100), (Effect.SAFE, 800)])
-def test_a_sent_job_is_given_up_when_it_can_not_be_in_time_or_a_booking_at_the_very_last(
+def test_a_sent_job_is_given_up_when_it_can_not_be_in_time_and_an_unsafe_one_at_the_last_moment(
     effect: Effect, ends: int
 ) -> None:
     limits = replace(LIMITS, second_copies=False)
@@ -235,24 +235,24 @@
 
 
 @pytest.mark.parametrize(("effect", "goes_to"), [(Effect.UNSAFE, {2}), (Effect.SAFE, {1})])
-def test_a_booking_goes_where_a_slot_is_to_spare(effect: Effect, goes_to: set[int]) -> None:
+def test_an_unsafe_job_goes_to_a_worker_with_a_spare_slot(effect: Effect, goes_to: set[int]) -> None:
     met = set()
     for seed in range(20):
         entries = [Entry(1, weight=9.0), Entry(2)]
         world = World(settings(effect, has_weights=True), entries, seed, free=None)
-        for worker, free in ((1, 1), (2, 4), (1, 0)):  # the last word: somebody has its slot at times
+        for worker, free in ((1, 1), (2, 4), (1, 0)):  # the last report: worker 1's slot is taken at times
             world.feed(Probed(worker, Outcome.OK, 1.0, Report(free=free)))
         met.update(sent_to(world.request(1, hint_ms=300.0)))
     assert met == goes_to
 
 
 @pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.SAFE])
-def test_a_worker_that_fails_a_class_is_shunned_by_what_may_not_be_repeated(effect: Effect) -> None:
+def test_a_worker_that_fails_a_class_is_avoided_by_unsafe_jobs(effect: Effect) -> None:
     world = World(settings(effect, has_weights=True), [Entry(1, weight=9.0), Entry(2)], free=9)
     rids = iter(range(100))
 
-    def failed(count: int) -> int:
-        """So many jobs, one by one, of which those at worker 1 end in an error."""
+    def count_failures(count: int) -> int:
+        """Run `count` jobs one by one; those at worker 1 end in an error, and their number is returned."""
         met = 0
         for rid in (next(rids) for _ in range(count)):
             (worker,) = sent_to(world.request(rid, hint_ms=300.0))
@@ -260,7 +260,7 @@
             world.end(rid, worker, Outcome.ERROR if worker == 1 else Outcome.OK, over=True)
         return met
 
-    assert failed(10) == 1 if effect is Effect.UNSAFE else failed(10) > 2
+    assert count_failures(10) == 1 if effect is Effect.UNSAFE else count_failures(10) > 2
     if effect is Effect.UNSAFE:
-        world.wait(SHUN_MS)  # then it is tried again
-        assert failed(20) == 1
+        world.wait(SHUN_MS)  # after that the worker is tried again
+        assert count_failures(20) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules and their awkward corners."""
+"""The four rules and their edge cases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TWO_CELLS = [Entry(1, cell=1, zone=1), Entry(2, cell=1, zone=1), Entry(3, cell=2, zone=1), Entry(4, cell=3)]
 
 
-def test_an_answer_is_given_before_the_deadline_though_no_outcome_comes() -> None:
+def test_an_answer_is_given_before_the_deadline_without_any_outcome() -> None:
     world = World(settings(), [Entry(1)])
     world.request(7)
     world.wait(4_000)
@@ -27,7 +27,7 @@
     assert only([a for _, a in world.log], Cancel) == [Cancel(7, 0)]
 
 
-def test_nothing_is_sent_after_the_end_and_the_end_is_given_once() -> None:
+def test_nothing_is_sent_after_the_final_answer_which_is_given_once() -> None:
     world = World(settings(), [Entry(1), Entry(2)])
     (send,) = only(world.request(7), Send)
     world.wait(5_000)
@@ -36,14 +36,14 @@
     assert len([a for _, a in world.log if isinstance(a, Refuse | Fail)]) == 1
 
 
-def test_a_timeout_that_is_not_over_still_owes_the_answer() -> None:
+def test_an_unsafe_job_is_failed_after_a_timeout_without_an_answer() -> None:
     world = World(settings(Effect.UNSAFE), [Entry(1)])
     world.request(7)
     actions = world.end(7, 1, Outcome.TIMEOUT)
     assert only(actions, Fail) == [Fail(7)]
 
 
-def test_a_client_that_left_is_owed_nothing() -> None:
+def test_a_client_that_left_gets_no_answer() -> None:
     world = World(settings(), [Entry(1)])
     world.request(7)
     assert world.feed(Gone(7)) == [Cancel(7, 0)]
@@ -96,7 +96,7 @@
 def test_a_keyed_job_that_may_have_run_is_refused_only_while_all_workers_drop_repeats(
     group: Group, window_ms: float, kind: type[Refuse | Fail]
 ) -> None:
-    """And will when its client is back: a repeat beyond the window would run."""
+    """The window must also cover the client's retry: a repeat after it would run."""
     world = World(settings(Effect.KEYED, group=group, window_ms=window_ms), [Entry(1)])
     world.request(7)
     world.wait(5_000)
@@ -115,7 +115,7 @@
     assert sends == 4
 
 
-def test_a_draining_or_missing_worker_gets_nothing_from_the_moment_it_is_told() -> None:
+def test_a_draining_or_unlisted_worker_gets_no_jobs_from_that_moment() -> None:
     world = World(settings(), [Entry(1), Entry(2)])
     world.feed(ServerList(ListMode.DELTA, (Entry(1, State.DRAINING),)))
     assert {w for n in range(3) for w in sent_to(world.request(n))} == {2}
@@ -140,24 +140,24 @@
         return sum(len(sent_to(world.request(n))) for n in range(40))
 
     cold, warm = burst(0.0), burst(9_000.0)
-    # 500 ms of assumed cost each against 3 x 0.2 of four slots for one second
+    # each job has an assumed cost of 500 ms; the budget is 3 x 0.2 of four slots for one second
     assert cold <= 4
     assert cold < warm
 
 
-def test_a_job_does_not_go_back_to_where_it_failed() -> None:
-    """Guards against a worker that fails at once, so always has room, and uses up a job's attempts."""
+def test_a_job_does_not_return_to_a_worker_where_it_failed() -> None:
+    """A worker that fails jobs immediately always has room, and would use up all attempts of a job."""
     world = World(settings(), [Entry(1), Entry(2)])
     world.set(2, full_until=world.now + 60.0)
     assert sent_to(world.request(1)) == [1]
-    assert sent_to(world.end(1, 1, Outcome.ERROR)) == []  # it waits for the other one
+    assert sent_to(world.end(1, 1, Outcome.ERROR)) == []  # it waits for the other worker
     assert sent_to(world.wait(200)) == [2]
     answers = world.end(1, 2, Outcome.ERROR, attempt=1)
-    assert only(answers, Refuse) and not sent_to(answers)  # there is nobody else
+    assert only(answers, Refuse) and not sent_to(answers)  # there is no other worker
 
 
-def test_errors_of_one_class_keep_those_away_that_must_not_run_twice() -> None:
-    """Guards against a booking lost at each dispatcher to learn what match lists had shown."""
+def test_errors_of_one_class_keep_unsafe_jobs_away() -> None:
+    """Otherwise each dispatcher loses an unsafe job to learn what errors of a safe class already showed."""
     classes = (RequestClass(aim_ms=500, deadline_ms=5_000), RequestClass(
         aim_ms=500, deadline_ms=5_000, effect=Effect.UNSAFE))
     world = World(replace(settings(), classes=classes), [Entry(1), Entry(2)])
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares kept up by changes: the split, the tree, the draw, and homes of keys."""
+"""Incrementally updated shares: the split, the sum tree, the draw, and home workers of keys."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from flintfield.decision.homes import CAP, Homes
+from flintfield.decision.homes import MAX_WEIGHT, Homes
 from flintfield.decision.interface import Entry
 from flintfield.decision.pricing import shares_at
 from flintfield.decision.records import Worker
-from flintfield.decision.shares import EXACT, Shares, SumTree, size_for, split, step_down
+from flintfield.decision.shares import SUM_TOLERANCE, Shares, SumTree, tree_size, split, round_down_slots
 
 GOODS = st.lists(st.tuples(st.floats(0.0, 1.0), st.floats(1e-3, 50.0)), min_size=1, max_size=40)
 
 
 @given(GOODS, st.floats(0.01, 1.0), st.one_of(st.none(), st.floats(-2.0, 2.0)))
-def test_a_split_is_found_from_any_hint(goods: list[tuple[float, float]], theta: float,
-                                        hint: float | None) -> None:
+def test_split_converges_from_any_hint(goods: list[tuple[float, float]], theta: float,
+                                       hint: float | None) -> None:
     lam, eta = split(shares_at, theta, goods, float("inf") if hint is None else hint)
-    assert sum(eta) == pytest.approx(len(goods), rel=2 * EXACT)
+    assert sum(eta) == pytest.approx(len(goods), rel=2 * SUM_TOLERANCE)
     assert min(eta) >= 0.0 and lam > -min(goods)[0]
 
 
@@ -33,9 +33,9 @@
 
 
 @given(WEIGHTS, CHANGES, st.floats(0, 0.999))
-def test_a_tree_finds_where_a_part_of_the_sum_falls(weights: list[float], changes: list[tuple[int, float]],
-                                                    part: float) -> None:
-    size = size_for(len(weights))
+def test_a_tree_finds_a_position_by_weight(weights: list[float], changes: list[tuple[int, float]],
+                                           part: float) -> None:
+    size = tree_size(len(weights))
     loaded, changed = SumTree(size), SumTree(size)
     for position, weight in changes:
         changed.set(position % len(weights), weight)
@@ -67,10 +67,10 @@
     return seen
 
 
-def test_who_is_not_allowed_is_left_out_and_the_others_keep_their_chances() -> None:
+def test_workers_not_allowed_are_excluded_and_the_others_keep_their_probabilities() -> None:
     pool = workers(100)
     shares = Shares((True, None, 1.0, 1.0, -1))
-    shares.walk(shares_at, pool, size_for(100))
+    shares.walk(shares_at, pool, tree_size(100))
     shares.solve(shares_at, 0.0, 1.0)
     before = shares.tree.total
     barred = {7, 8}
@@ -79,22 +79,22 @@
     left = sum(shares.tree.weight(w.slot) for w in pool if w.slot not in barred)
     far = sum(abs(seen[w.slot] / 20_000 - shares.tree.weight(w.slot) / left)
               for w in pool if w.slot not in barred) / 2
-    assert far < 0.03  # the noise of so many draws
+    assert far < 0.03  # above the sampling noise of 20,000 draws
 
 
-def test_a_draw_that_would_not_fit_is_cut_short_and_told() -> None:
+def test_a_draw_with_too_many_rejections_is_cut_short() -> None:
     pool = workers(100)
     shares = Shares((True, None, 1.0, 1.0, -1))
-    shares.walk(shares_at, pool, size_for(100))
+    shares.walk(shares_at, pool, tree_size(100))
     shares.solve(shares_at, 0.0, 1.0)
     assert shares.draw(random.Random(1), pool, lambda w: False) == (None, True)
     assert shares.draw(random.Random(1), pool, lambda w: w.zeta < 1) == (None, True)
 
 
-def test_a_worker_comes_and_goes_with_its_room_and_its_price() -> None:
+def test_a_worker_joins_and_leaves_a_table_by_its_room_and_price() -> None:
     pool = workers(50)
     shares = Shares((True, None, 0.5, 1.0, -1))
-    shares.walk(shares_at, pool, size_for(50))
+    shares.walk(shares_at, pool, tree_size(50))
     shares.solve(shares_at, 0.0, 1.0)
     pool[3].room, pool[4].price = 0.4, 0.6
     shares.update(shares_at, [3, 4], pool)
@@ -103,17 +103,17 @@
     shares.update(shares_at, [4, 3], pool)
     fresh = Shares(shares.order)
     fresh.lam, fresh.mean, fresh.pace = shares.lam, shares.mean, shares.pace
-    fresh.walk(shares_at, pool, size_for(50))
+    fresh.walk(shares_at, pool, tree_size(50))
     assert [fresh.tree.weight(n) for n in range(50)] == [shares.tree.weight(n) for n in range(50)]
 
 
-def test_jobs_of_odd_sizes_make_few_steps() -> None:
-    steps = {step_down(1.0 + n / 100) for n in range(1_500)}
+def test_many_different_job_sizes_make_few_steps() -> None:
+    steps = {round_down_slots(1.0 + n / 100) for n in range(1_500)}
     assert len(steps) <= 17 and {1.0, 1.5, 2.0, 3.0, 4.0, 6.0} <= steps
-    assert all(step_down(s) == s for s in steps)
+    assert all(round_down_slots(s) == s for s in steps)
 
 
-def test_keys_go_by_weight_and_only_what_changes_moves() -> None:
+def test_keys_follow_weights_and_a_change_moves_only_its_own_keys() -> None:
     pool = workers(60)
     weight = {w.slot: 0.2 + w.slot % 4 for w in pool}
     homes = Homes(pool)
@@ -132,10 +132,10 @@
     gone = find({7: 0.0})
     assert all(gone[k] == home for k, home in at.items() if home != 7) and 7 not in gone.values()
     more = find({8: 2 * weight[8]})
-    assert weight[8] * 2 <= CAP and all(more[k] in (home, 8) for k, home in at.items())
+    assert weight[8] * 2 <= MAX_WEIGHT and all(more[k] in (home, 8) for k, home in at.items())
     assert Homes(reversed(pool)).find(5, weight.__getitem__, lambda w: True) == pool[at[5]]
 
 
-def test_where_few_have_room_a_key_has_no_home() -> None:
+def test_a_key_has_no_home_if_no_worker_has_weight() -> None:
     pool = workers(500)
     assert Homes(pool).find(3, lambda slot: 0.0, lambda w: True) is None
