--- a/flintfield/decision/byhand.py
+++ b/flintfield/decision/byhand.py
@@ -20,7 +20,7 @@
         self.back: dict[WorkerId, float] = {}
         self.cold_elsewhere = False  # another process uses this dispatcher's part of cold workers' budgets
 
-    def take(self, event: ByHand, workers: Mapping[WorkerId, Worker], now: float) -> Iterable[Worker]:
+    def apply(self, event: ByHand, workers: Mapping[WorkerId, Worker], now: float) -> Iterable[Worker]:
         """Apply the event and return the listed workers that it changes."""
         self.out, self.back = dict.fromkeys(event.out), dict(event.back)
         self.cold_elsewhere = event.cold_elsewhere
--- a/flintfield/decision/cold.py
+++ b/flintfield/decision/cold.py
@@ -8,7 +8,7 @@
 COLD_PART = 0.6  # fraction of the cold budget that is used; the rest covers jobs that cost more than hinted
 
 
-class Cold(Pricing):
+class ColdStart(Pricing):
     """Divides cold workers' budgets, since all dispatchers together can overload a cold worker."""
 
     def _cold_room(self, worker: Worker, cost: float) -> bool:
--- a/flintfield/decision/desk.py
+++ b/flintfield/decision/desk.py
@@ -37,7 +37,7 @@
 MEAN_SAMPLES = 8  # samples over which a mean of costs or paces is taken
 
 
-class Desk:
+class DispatcherState:
     """The state of one dispatcher; times in ms."""
 
     def __init__(self, settings: Settings, seed: int, fill: Fill) -> None:
@@ -62,7 +62,7 @@
         self.handlers: dict[type, Callable[..., None]] = {}
         self.now = self.last_tick = self.wake_at = -math.inf
         self.passed = 0.0  # ms between the last two ticks
-        self.asking = Asking(settings.rules.ask_within_ms, settings.longest_unasked_ms(),
+        self.asking = Asking(settings.rules.ask_within_ms, settings.max_call_wait_ms(),
                              settings.first_word_ms)
         self.hands = Hands()
         self.patience = Patience(c.deadline_ms for c in settings.classes)
--- a/flintfield/decision/ending.py
+++ b/flintfield/decision/ending.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flintfield.decision.cold import Cold
+from flintfield.decision.cold import ColdStart
 from flintfield.decision.interface import Cancel, Fail, Refuse
 from flintfield.decision.records import Attempt, Job
 from flintfield.decision.repeats import is_harmless
@@ -10,7 +10,7 @@
 TICK_MS = 100.0  # mean time between price steps; jittered so that dispatchers do not synchronise
 
 
-class Ending(Cold):
+class FinalAnswers(ColdStart):
     """The end of a job."""
 
     def _end(self, job: Job) -> None:
--- a/flintfield/decision/fleet.py
+++ b/flintfield/decision/fleet.py
@@ -54,7 +54,7 @@
                 self._price_changing.add(worker.slot)
                 self._log_change(worker.slot)
 
-    def ask(self, worker: Worker, at: float) -> None:
+    def schedule_probe(self, worker: Worker, at: float) -> None:
         """Consider a near worker for a probe at the first price step after `at`."""
         if worker.near and not worker.probing:
             self._probe_times.put(worker.slot, at)
@@ -124,7 +124,7 @@
             self._floors = sorted({t.floor for t in self.tables.values()})
         table.used_at = self.now
         self._catch_up(table)
-        if table.is_off(self.now):
+        if table.is_outdated(self.now):
             table.solve(self._fill, self.now, pace)
         return table
 
@@ -136,7 +136,7 @@
         end = self._start + len(self._log)
         unread = end - table.seen
         if table.seen < self._start or unread > len(self._slots) // 2 + 8 or table.tree.size != self._size:
-            table.walk(self._fill, self._scope(table), self._size)
+            table.rebuild(self._fill, self._scope(table), self._size)
         elif unread:
             table.update(self._fill, dict.fromkeys(self._log[table.seen - self._start:]), self._slots)
         table.seen = end
--- a/flintfield/decision/heeding.py
+++ b/flintfield/decision/heeding.py
@@ -96,7 +96,7 @@
                 # Keeps each of many dispatchers from timing out on a node on which others already have.
                 self.doubted.add(row.worker)
                 worker.probe_at = -math.inf
-                self.fleet.ask(worker, self.now)
+                self.fleet.schedule_probe(worker, self.now)
             elif not row.unreached:
                 self.doubted.discard(row.worker)
             self._update_others(worker)
--- a/flintfield/decision/knowing.py
+++ b/flintfield/decision/knowing.py
@@ -4,7 +4,7 @@
 
 import math
 
-from flintfield.decision.desk import MEAN_SAMPLES, Desk
+from flintfield.decision.desk import MEAN_SAMPLES, DispatcherState
 from flintfield.decision.interface import Entry, ListMode, Outcome, Probed, Report, ServerList
 from flintfield.decision.records import Worker, lot
 
@@ -15,7 +15,7 @@
 REMOTE_RANK_FACTOR = 3.0  # local workers ranked before each one of another zone, if the zones are alike
 
 
-class Knowing(Desk):
+class WorkerTracking(DispatcherState):
     """Processes the server list, contacts and probe results."""
 
     def _list(self, event: ServerList) -> None:
@@ -28,7 +28,7 @@
         for worker, before in fleet.take_list(event.entries, whole, self._make_worker):
             if worker.entry.started_ms > before.started_ms:
                 worker.restart(worker.entry.started_ms, self.now)
-                fleet.ask(worker, self.now)
+                fleet.schedule_probe(worker, self.now)
             self._rate(worker)
             fleet.touch(worker, rated=True)
         self._resize_near()
@@ -55,7 +55,7 @@
                 self._heard(worker, event.report)
             elif event.outcome is not Outcome.MOOT:
                 worker.missed = True
-            self.fleet.ask(worker, self._next_probe_at(worker))
+            self.fleet.schedule_probe(worker, self._next_probe_at(worker))
             self.fleet.touch(worker)
 
     def is_silent(self, worker: Worker) -> bool:
--- a/flintfield/decision/learned.py
+++ b/flintfield/decision/learned.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class RestoreResult:
     """How many workers' figures were restored and how many were skipped."""
 
     workers: int
@@ -38,7 +38,7 @@
     }
 
 
-def recall(dispatcher: Dispatcher, saved: Any) -> Recalled:
+def recall(dispatcher: Dispatcher, saved: Any) -> RestoreResult:
     """Restore the saved figures; raises ValueError, with no change, if they are malformed."""
     try:
         if saved["form"] != FORMAT_VERSION or len(saved["costs"]) != len(dispatcher.costs):
@@ -61,11 +61,11 @@
         worker.errors, worker.shunned = errors, shunned
         dispatcher._rate(worker)  # recomputes the quality that is derived from these figures
         dispatcher.fleet.touch(worker, True)
-    for mean, told in zip([dispatcher.pace, *dispatcher.costs], means, strict=True):
-        _set_mean(mean, told)
+    for mean, saved_mean in zip([dispatcher.pace, *dispatcher.costs], means, strict=True):
+        _set_mean(mean, saved_mean)
     dispatcher.in_flight = in_flight
     dispatcher._resize_near()
-    return Recalled(found, len(workers) - found)
+    return RestoreResult(found, len(workers) - found)
 
 
 def spent(dispatcher: Dispatcher, now: float) -> list[list[Any]]:
@@ -78,11 +78,11 @@
 def take_spent(dispatcher: Dispatcher, raw: Any) -> None:
     """Count these jobs as sent by this dispatcher; raises ValueError, with no change, if malformed."""
     try:
-        told = [(int(number), [(_non_negative(at), _non_negative(cost)) for at, cost in sent])
+        sends = [(int(number), [(_non_negative(at), _non_negative(cost)) for at, cost in sent])
                 for number, sent in raw]
     except (TypeError, ValueError) as error:
         raise ValueError(f"sends that cannot be read: {error!r}") from error
-    for number, sent in told:
+    for number, sent in sends:
         if (worker := dispatcher.workers.get(number)) is not None:
             worker.sent.extendleft(reversed(sent))
 
@@ -116,5 +116,5 @@
     return value
 
 
-def _set_mean(mean: Mean, told: tuple[float, int]) -> None:
-    mean.value, mean.count = told
+def _set_mean(mean: Mean, saved: tuple[float, int]) -> None:
+    mean.value, mean.count = saved
--- a/flintfield/decision/outcomes.py
+++ b/flintfield/decision/outcomes.py
@@ -7,13 +7,13 @@
 from flintfield.decision.pricing import START_MS
 from flintfield.decision.records import Attempt, Job
 from flintfield.decision.rests import back_off_after_wait, shun_after_error
-from flintfield.decision.waiting import ANSWER_TIMER_MS, Waiting
+from flintfield.decision.waiting import ANSWER_TIMER_MS, WaitingJobs
 
 ENDED_WAITING = frozenset({Outcome.CANCELLED, Outcome.TIMEOUT})  # how an attempt ends before its start
 HEALTH_STEP = 0.2  # how far a lost, failed or timed-out job lowers a worker's health; a served one raises it
 
 
-class Outcomes(Waiting):
+class OutcomeTracking(WaitingJobs):
     """Processes progress notes and attempt outcomes."""
 
     def _note(self, event: Note) -> None:
--- a/flintfield/decision/placing.py
+++ b/flintfield/decision/placing.py
@@ -9,12 +9,12 @@
 from flintfield.decision.records import Attempt, Job, Worker
 from flintfield.decision.repeats import bound, may_go
 from flintfield.decision.shares import Order, round_down_slots
-from flintfield.decision.useful import Useful
+from flintfield.decision.useful import JobValue
 
 SPARE_SLOTS = 0.5  # slots that should stay free beside a job that must not be sent again
 
 
-class Placing(Useful):
+class JobPlacement(JobValue):
     """Starts attempts."""
 
     def _place(self, job: Job, anywhere: bool = False) -> bool:
--- a/flintfield/decision/policy.py
+++ b/flintfield/decision/policy.py
@@ -14,7 +14,7 @@
     Action, AttemptEnded, ByHand, Ends, Event, Fail, First, Gone, Note, Probe, Probed, Request, ServerList,
     SetTimer, Settings, Timer, Watch,
 )
-from flintfield.decision.outcomes import Outcomes
+from flintfield.decision.outcomes import OutcomeTracking
 from flintfield.decision.records import Job
 from flintfield.decision.repeats import may_go
 from flintfield.decision.waiting import ANSWER_TIMER_MS
@@ -23,7 +23,7 @@
 TICK, WAKE = 0, 0xFFFFFFFF  # timer tokens; those of requests lie between
 
 
-class Dispatcher(Outcomes):
+class Dispatcher(OutcomeTracking):
     """The decisions of one dispatcher: `handle(now, event)` returns the actions in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -45,9 +45,9 @@
         if self.held.sorts:
             if self.fleet.roomy and not isinstance(event, Request | Note):
                 self._serve_held()
-            if (opens := self.fleet.next_wake()) < (self.wake_at if self.wake_at > now else math.inf):
-                self.wake_at = opens  # so that held jobs are sent once a worker's back-off ends
-                self.actions.append(SetTimer(opens - now, WAKE))
+            if (wakes_at := self.fleet.next_wake()) < (self.wake_at if self.wake_at > now else math.inf):
+                self.wake_at = wakes_at  # so that held jobs are sent once a worker's back-off ends
+                self.actions.append(SetTimer(wakes_at - now, WAKE))
         return self.actions
 
     def _tick(self) -> None:
@@ -68,8 +68,8 @@
             self.actions.append(Watch())
 
     def _by_hand(self, event: ByHand) -> None:
-        for worker in self.hands.take(event, self.workers, self.now):
-            self.fleet.ask(worker, self.now)
+        for worker in self.hands.apply(event, self.workers, self.now):
+            self.fleet.schedule_probe(worker, self.now)
             self._rate(worker)
             self.fleet.touch(worker, rated=True)
         self._resize_near()
@@ -90,8 +90,8 @@
         job.last -= 2 * self.settings.resolution_ms
         age = self.patience.age(event.cls, event.deadline - self.now)
         job.arrived -= 0.0 if self._is_high_worth(job) else age  # hints are often wrong: treat as new
-        vain = is_too_late(cls, job.last - self.now, event.hint_ms, self._quickest)
-        if vain or self.hands.are_all_out(self.fleet.ring) or (
+        too_late = is_too_late(cls, job.last - self.now, event.hint_ms, self._quickest)
+        if too_late or self.hands.are_all_out(self.fleet.ring) or (
                 self._has_waited(job, 1.0) and not self._accept_late(job)):
             self._end(job)
             return
--- a/flintfield/decision/pricing.py
+++ b/flintfield/decision/pricing.py
@@ -9,7 +9,7 @@
 import math
 
 from flintfield.decision.interface import Settings
-from flintfield.decision.knowing import PROBE_MS, Knowing
+from flintfield.decision.knowing import PROBE_MS, WorkerTracking
 from flintfield.decision.records import Worker
 from flintfield.decision.shares import Goods
 
@@ -29,7 +29,7 @@
             for phi, zeta in goods]
 
 
-class Pricing(Knowing):
+class Pricing(WorkerTracking):
     """The free capacity and the price of each worker."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
--- a/flintfield/decision/settings.py
+++ b/flintfield/decision/settings.py
@@ -160,7 +160,7 @@
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
 
-    def longest_unasked_ms(self) -> float:
+    def max_call_wait_ms(self) -> float:
         """The longest wait between two failed calls for the list. If lists are pushed, the news that a call
         delivers took effect when they occurred; this leaves half of a drain's grace time to act on them."""
         return self.rules.drain_grace_ms / 2 if self.pushed else math.inf
--- a/flintfield/decision/shares.py
+++ b/flintfield/decision/shares.py
@@ -163,7 +163,7 @@
         self.seen = -1  # position in the fleet's log up to which it was read; -1: not built yet
         self.tree = SumTree(1)
 
-    def is_off(self, now: float) -> bool:
+    def is_outdated(self, now: float) -> bool:
         """Whether λ is out of date."""
         count, solved = len(self.members), self.solved
         return (abs(self.tree.total - count) > MAX_SUM_ERROR * count
@@ -183,7 +183,7 @@
         for slot, share in zip(weights, eta, strict=True):
             tree.set(slot, share if share > MIN_WEIGHT else MIN_WEIGHT)
 
-    def walk(self, fill: Fill, workers: Iterable[Worker], size: int) -> None:
+    def rebuild(self, fill: Fill, workers: Iterable[Worker], size: int) -> None:
         """Rebuild the table from all workers, with the current λ."""
         self.members = {w.slot: w for w in eligible(self.order, workers)}
         self.tree = SumTree(size)
--- a/flintfield/decision/useful.py
+++ b/flintfield/decision/useful.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from flintfield.decision.admission import QUEUE_AFTER, HIGH_WORTH_COST_FACTOR, useful_ms
-from flintfield.decision.ending import Ending
+from flintfield.decision.ending import FinalAnswers
 from flintfield.decision.interface import Effect
 from flintfield.decision.records import Job, Sort
 
 
-class Useful(Ending):
+class JobValue(FinalAnswers):
     """Estimates of a job's remaining useful time and its worth."""
 
     def _useful_ms(self, job: Job) -> float:
--- a/flintfield/decision/waiting.py
+++ b/flintfield/decision/waiting.py
@@ -8,14 +8,14 @@
 from flintfield.decision.desk import SHORT_TERM_MS
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.interface import SetTimer
-from flintfield.decision.placing import Placing
+from flintfield.decision.placing import JobPlacement
 from flintfield.decision.pricing import RHO
 from flintfield.decision.records import Job
 
 ANSWER_TIMER_MS = 3 * TICK_MS  # how long before a job's answer is due its timer is set
 
 
-class Waiting(Placing):
+class WaitingJobs(JobPlacement):
     """Handles jobs that have no result yet."""
 
     def _accept_late(self, job: Job) -> bool:
--- a/flintfield/dispatch/service.py
+++ b/flintfield/dispatch/service.py
@@ -190,11 +190,11 @@
         term = self._term
         if term is None or not term.leadership.confirmed():
             return self._not_dispatcher()
-        ours = self._configuration()
-        version = ours.version if ours is not None else 0
+        configuration = self._configuration()
+        version = configuration.version if configuration is not None else 0
         if request.version > version or len(term.calls) >= MAX_CALLS:
             return JobAnswer(503, b'{"error":"no_configuration"}', OUTDATED_RETRY_MS, version)
-        self._follow(term, ours)
+        self._follow(term, configuration)
         self._next_call += 1
         number = self._next_call
         call = term.calls[number] = _Call(request.method)
--- a/tests/system/test_dispatch_service.py
+++ b/tests/system/test_dispatch_service.py
@@ -33,7 +33,7 @@
     def __init__(self, epoch: int = 3, items: Mapping[bytes, bytes] | None = None) -> None:
         self.epoch = epoch
         self.items: Mapping[bytes, bytes] = items or {}
-        self.sure = True
+        self.is_confirmed = True
         self.written: list[tuple[Sequence[Change], asyncio.Future[None]]] = []
 
     async def write(self, changes: Sequence[Change]) -> None:
@@ -44,7 +44,7 @@
 
     def confirmed(self) -> bool:
         """As set by the test."""
-        return self.sure
+        return self.is_confirmed
 
     def wall_ms(self) -> int:
         """A fixed wall clock time."""
@@ -107,7 +107,7 @@
 
     async def test_a_leader_that_is_not_confirmed_answers_nothing(self) -> None:
         self.service.elected(self.leadership)
-        self.leadership.sure = False
+        self.leadership.is_confirmed = False
         self.assertEqual(self.call(Method.COUNT, "/a/"), NotDispatcher(3, "10.0.0.9:7660"))
 
     async def test_a_job_is_accepted_once_it_is_durable(self) -> None:
@@ -120,7 +120,7 @@
     async def test_a_submission_is_in_doubt_when_the_confirmation_is_gone_by_its_answer(self) -> None:
         self.service.elected(self.leadership)
         waiting = await self.submit()
-        self.leadership.sure = False
+        self.leadership.is_confirmed = False
         self.leadership.written[0][1].set_result(None)
         self.assertEqual((await waiting).status, 504)
 
@@ -175,7 +175,7 @@
 
     async def test_no_grant_leaves_without_a_confirmed_leadership(self) -> None:
         self.service.elected(self.leadership)
-        self.leadership.sure = False
+        self.leadership.is_confirmed = False
         self.service.handlers()[AgentReport](report(10), self.connection)
         self.assertEqual(self.connection.sent, [NotDispatcher(3, "10.0.0.9:7660")])
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -221,7 +221,7 @@
 
 def test_a_wrong_count_of_dispatchers_loses_no_job() -> None:
     world = World(settings(dispatchers=90, aim_ms=60_000.0, deadline_ms=60_000.0), FLEET, free=4)
-    for rid in range(60):  # the other 89 are dead: all of the traffic is ours
+    for rid in range(60):  # the other 89 are dead: all of the traffic comes here
         world.request(rid)
         world.wait(100)
     world.wait(20_000)
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -236,14 +236,14 @@
 
 @pytest.mark.parametrize(("effect", "goes_to"), [(Effect.UNSAFE, {2}), (Effect.SAFE, {1})])
 def test_an_unsafe_job_goes_to_a_worker_with_a_spare_slot(effect: Effect, goes_to: set[int]) -> None:
-    met = set()
+    drawn = set()
     for seed in range(20):
         entries = [Entry(1, weight=9.0), Entry(2)]
         world = World(settings(effect, has_weights=True), entries, seed, free=None)
         for worker, free in ((1, 1), (2, 4), (1, 0)):  # the last report: worker 1's slot is taken at times
             world.feed(Probed(worker, Outcome.OK, 1.0, Report(free=free)))
-        met.update(sent_to(world.request(1, hint_ms=300.0)))
-    assert met == goes_to
+        drawn.update(sent_to(world.request(1, hint_ms=300.0)))
+    assert drawn == goes_to
 
 
 @pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.SAFE])
@@ -253,12 +253,12 @@
 
     def count_failures(count: int) -> int:
         """Run `count` jobs one by one; those at worker 1 end in an error, and their number is returned."""
-        met = 0
+        failures = 0
         for rid in (next(rids) for _ in range(count)):
             (worker,) = sent_to(world.request(rid, hint_ms=300.0))
-            met += worker == 1
+            failures += worker == 1
             world.end(rid, worker, Outcome.ERROR if worker == 1 else Outcome.OK, over=True)
-        return met
+        return failures
 
     assert count_failures(10) == 1 if effect is Effect.UNSAFE else count_failures(10) > 2
     if effect is Effect.UNSAFE:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -70,22 +70,22 @@
 def test_workers_not_allowed_are_excluded_and_the_others_keep_their_probabilities() -> None:
     pool = workers(100)
     shares = Shares((True, None, 1.0, 1.0, -1))
-    shares.walk(shares_at, pool, tree_size(100))
+    shares.rebuild(shares_at, pool, tree_size(100))
     shares.solve(shares_at, 0.0, 1.0)
     before = shares.tree.total
     barred = {7, 8}
     seen = drawn(shares, pool, lambda w: w.slot not in barred)
     assert not barred & seen.keys() and shares.tree.total == before
     left = sum(shares.tree.weight(w.slot) for w in pool if w.slot not in barred)
-    far = sum(abs(seen[w.slot] / 20_000 - shares.tree.weight(w.slot) / left)
+    distance = sum(abs(seen[w.slot] / 20_000 - shares.tree.weight(w.slot) / left)
               for w in pool if w.slot not in barred) / 2
-    assert far < 0.03  # above the sampling noise of 20,000 draws
+    assert distance < 0.03  # above the sampling noise of 20,000 draws
 
 
 def test_a_draw_with_too_many_rejections_is_cut_short() -> None:
     pool = workers(100)
     shares = Shares((True, None, 1.0, 1.0, -1))
-    shares.walk(shares_at, pool, tree_size(100))
+    shares.rebuild(shares_at, pool, tree_size(100))
     shares.solve(shares_at, 0.0, 1.0)
     assert shares.draw(random.Random(1), pool, lambda w: False) == (None, True)
     assert shares.draw(random.Random(1), pool, lambda w: w.zeta < 1) == (None, True)
@@ -94,7 +94,7 @@
 def test_a_worker_joins_and_leaves_a_table_by_its_room_and_price() -> None:
     pool = workers(50)
     shares = Shares((True, None, 0.5, 1.0, -1))
-    shares.walk(shares_at, pool, tree_size(50))
+    shares.rebuild(shares_at, pool, tree_size(50))
     shares.solve(shares_at, 0.0, 1.0)
     pool[3].room, pool[4].price = 0.4, 0.6
     shares.update(shares_at, [3, 4], pool)
@@ -103,7 +103,7 @@
     shares.update(shares_at, [4, 3], pool)
     fresh = Shares(shares.order)
     fresh.lam, fresh.mean, fresh.pace = shares.lam, shares.mean, shares.pace
-    fresh.walk(shares_at, pool, tree_size(50))
+    fresh.rebuild(shares_at, pool, tree_size(50))
     assert [fresh.tree.weight(n) for n in range(50)] == [shares.tree.weight(n) for n in range(50)]
 
 
