--- a/flintfield/decision/byhand.py
+++ b/flintfield/decision/byhand.py
@@ -37,7 +37,7 @@
             before, worker.barred = worker.barred, True
             return not before
         if (at := self.back.get(number, 0.0)) > worker.back:
-            worker.come_back(at, now)
+            worker.return_to_service(at, now)
             return True
         before, worker.barred = worker.barred, False
         return before
--- a/flintfield/decision/planned.py
+++ b/flintfield/decision/planned.py
@@ -98,7 +98,7 @@
             self.fleet.rerank(new)
         super()._resize_near()
         if planned:
-            self.fleet.reach(len(planned))
+            self.fleet.extend_near(len(planned))
             self.sharers = a + (1.0 - a) * self.sharers
 
     def _draw_by_share(self, job: Job, order: Order, allowed: Callable[[Worker], bool]) -> Worker | None:
--- a/flintfield/decision/records.py
+++ b/flintfield/decision/records.py
@@ -99,7 +99,7 @@
         for cls in classes:
             self.shunned[cls] = max(until, self.shunned.get(cls, until))
 
-    def come_back(self, at: float, now: float) -> None:
+    def return_to_service(self, at: float, now: float) -> None:
         """Return the worker to service as of `at`: it is cold from then, earlier observations are reset."""
         self.barred, self.back = False, at
         self.restart(at, now)
--- a/flintfield/decision/roster.py
+++ b/flintfield/decision/roster.py
@@ -202,7 +202,7 @@
                 self.touch(worker, True)
         self._homes.clear()
 
-    def reach(self, count: int) -> None:
+    def extend_near(self, count: int) -> None:
         """Make at least the first `count` workers of the ring near, until the next `resize_near`."""
         while self.cut < min(count, len(self.ring)):
             self._set_near(self.ring[self.cut], True)
