--- a/flintfield/coordination/acceptor.py
+++ b/flintfield/coordination/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of one register (CASPaxos, Rystsov 2018): two rules, no I/O."""
+"""The prepare and accept rules of a CASPaxos acceptor (Rystsov 2018) for one register. No I/O."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def prepare(state: StoredAcceptor, ballot: Ballot) -> StoredAcceptor | None:
-    """The state after a promise for this ballot, or None where a higher one was promised.
+    """Return the state after promising this ballot, or None if a higher ballot was already promised.
 
-    The same ballot may be promised again: a doubled request gets the same answer.
+    The same ballot may be promised again, so that a duplicated request gets the same answer.
     """
     if ballot < state.promised:
         return None
@@ -19,7 +19,7 @@
 
 
 def accept(state: StoredAcceptor, ballot: Ballot, value: bytes | None) -> StoredAcceptor | None:
-    """The state after accepting, or None where a higher ballot was promised."""
+    """Return the state after accepting the value, or None if a higher ballot was already promised."""
     if ballot < state.promised:
         return None
     return StoredAcceptor(promised=ballot, accepted=ballot, value=value)
--- a/flintfield/coordination/attempt.py
+++ b/flintfield/coordination/attempt.py
@@ -1,25 +1,24 @@
-"""One try of a proposer: prepare at a majority, then accept at a majority of the same core set (CASPaxos). No
-I/O.
-
-The shell sends `prepare`, hands all answers to `take`, and once the phase is `PREPARED` looks at `current`,
-calls `propose` and sends what it returns. Where the promises left the value out (`lacks_value`), it fetches
-the value of ballot `accepted` from one of `holders` and hands it to `supply` before. At `COMMITTED` the value
-is chosen. At `LOST` a higher ballot, a newer set or a seal stands against it; the shell starts over with what
-`highest` and `newer` tell.
+"""One CASPaxos proposal: prepare at a majority, then accept at a majority of the same core set. No I/O.
+
+The shell sends `prepare` and passes every answer to `take`. In phase `PREPARED` it reads `current`, calls
+`propose` and sends the returned request. If the promises omitted the value (`lacks_value`), the shell first
+fetches the value of ballot `accepted` from one of `holders` and passes it to `supply`. In phase `COMMITTED`
+the value is chosen. In phase `LOST` the proposal failed because of a higher ballot, a newer core set or a
+sealed set; the shell starts a new attempt that takes `highest` and `newer` into account.
 """
 
 from __future__ import annotations
 
 import enum
 
-from flintfield.coordination.delta import WORTH_IT, difference
+from flintfield.coordination.delta import MAX_DELTA_RATIO, difference
 from flintfield.coordination.messages import Refused
 from flintfield.coordination.model import NO_BALLOT, Ballot, CoreSet, Refusal, Register
 from flintfield.coordination.register_messages import Accept, AcceptDelta, Accepted, Prepare, Promised
 
 
 class Phase(enum.Enum):
-    """How far the attempt is."""
+    """The phase of an attempt."""
 
     PREPARING = 1
     PREPARED = 2
@@ -29,7 +28,7 @@
 
 
 class Attempt:
-    """The state machine of one ballot. A ballot must never be used for two attempts."""
+    """The proposer's state machine for one ballot. A ballot must never be used for two attempts."""
 
     def __init__(
         self, core: CoreSet, register: Register, ballot: Ballot, *, ballots_only: bool = False
@@ -51,32 +50,35 @@
 
     @property
     def prepare(self) -> Prepare:
-        """What to send first."""
+        """The first request to send."""
         return Prepare(self.core.version, self.register, self.ballot, self._ballots_only)
 
     def supply(self, value: bytes | None) -> None:
-        """The value of ballot `accepted`, which the promises left out."""
+        """Set the current value to the value of ballot `accepted`, which the promises omitted."""
         self.current = value
         self.lacks_value = False
 
     def propose(self, value: bytes | None) -> Accept:
-        """Ask that this value be accepted; only in phase `PREPARED`, and with the current value at hand."""
+        """Return the accept request for this value. Requires phase `PREPARED` and a known current value."""
         if self.phase is not Phase.PREPARED or self.lacks_value:
-            raise ValueError(f"nothing can be proposed in phase {self.phase.name}, or without the value")
+            raise ValueError(f"cannot propose in phase {self.phase.name} or without the current value")
         self.phase = Phase.ACCEPTING
         self._agreed.clear()
         self._against.clear()
         return Accept(self.core.version, self.register, self.ballot, value)
 
-    def delta(self, accept: Accept, longest: float = WORTH_IT) -> AcceptDelta | None:
-        """The same request as a difference to `current`; None where that is longer than this part of it."""
+    def delta(self, accept: Accept, longest: float = MAX_DELTA_RATIO) -> AcceptDelta | None:
+        """Return the request as a delta against `current`, or None if the delta is too long.
+
+        `longest` is the greatest permitted ratio of the delta's length to the value's length.
+        """
         delta = difference(self.current, accept.value, longest)
         if delta is None:
             return None
         return AcceptDelta(accept.core, accept.register, accept.ballot, delta)
 
     def take(self, answer: object) -> Phase:
-        """Count an answer; doubled ones and those of other phases do nothing."""
+        """Process an answer. Duplicate answers and answers to other phases have no effect."""
         if isinstance(answer, Promised) and self.phase is Phase.PREPARING:
             self._promised(answer)
         elif isinstance(answer, Accepted) and self.phase is Phase.ACCEPTING:
@@ -98,17 +100,17 @@
                 self.supply(answer.value)
         self._count(answer.replica, answer.ballot, Phase.PREPARED)
 
-    def _count(self, replica: int, ballot: Ballot, reached: Phase) -> None:
+    def _count(self, replica: int, ballot: Ballot, next_phase: Phase) -> None:
         if ballot != self.ballot or self.core.member(replica) is None:
             return
         self._agreed.add(replica)
         if len(self._agreed) >= self.core.majority:
-            self.phase = reached
+            self.phase = next_phase
 
     def _refused(self, answer: Refused) -> None:
         if self.core.member(answer.replica) is None:
             return
-        if answer.kind is not Refusal.LACKS_BASE:  # then it is asked with the whole value
+        if answer.kind is not Refusal.LACKS_BASE:  # the request is repeated with the whole value
             self._against.add(answer.replica)
         self.sealed = self.sealed or answer.kind is Refusal.SEALED
         if answer.kind is Refusal.BALLOT:
--- a/flintfield/coordination/batch_log.py
+++ b/flintfield/coordination/batch_log.py
@@ -1,7 +1,7 @@
-"""The newest batches of an epoch, kept for followers that lag.
+"""The newest batches of an epoch, kept for followers that lag behind.
 
-The log is bounded by a constant and by the size of the whole state: a follower that lacks more than that is
-sent the state, which costs no more than the batches would.
+The size of the log is limited by a constant and by the size of the whole state. A follower that lacks more
+batches receives the whole state, which is no larger than the batches would be.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from flintfield.coordination.snapshots import ENTRY_OVERHEAD_BYTES
 from flintfield.coordination.timing import CHUNK_BYTES
 
-MOST_BYTES = 2 * 1024 * 1024
-LEAST_BYTES = 64 * 1024  # kept also while the state is smaller
+MAX_BYTES = 2 * 1024 * 1024
+MIN_LIMIT_BYTES = 64 * 1024  # the limit doesn't fall below this if the state is smaller
 
 
 class BatchLog:
-    """Batches of consecutive sequences, oldest first."""
+    """Batches with consecutive sequence numbers, oldest first."""
 
     def __init__(self) -> None:
         self._batches: deque[tuple[Batch, int]] = deque()  # with their sizes in bytes
@@ -25,7 +25,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """What all batches take."""
+        """The total size of all batches."""
         return self._bytes
 
     def add(self, batch: Batch) -> None:
@@ -35,26 +35,29 @@
         self._bytes += size
 
     def after(self, sequence: int) -> tuple[Batch, ...]:
-        """The batches after that sequence, up to a chunk; empty where the log doesn't reach back so far."""
+        """Return the batches after this sequence, up to about `CHUNK_BYTES`.
+
+        The result is empty if the log no longer contains the first of these batches.
+        """
         if not self._batches or self._batches[0][0].sequence > sequence + 1:
             return ()
-        found: list[Batch] = []
-        found_bytes = 0
+        batches: list[Batch] = []
+        batches_bytes = 0
         start = sequence + 1 - self._batches[0][0].sequence
         for index in range(start, len(self._batches)):
             batch, size = self._batches[index]
-            if found and found_bytes + size > CHUNK_BYTES:
+            if batches and batches_bytes + size > CHUNK_BYTES:
                 break
-            found.append(batch)
-            found_bytes += size
-        return tuple(found)
+            batches.append(batch)
+            batches_bytes += size
+        return tuple(batches)
 
     def trim(self, acked: int, committed: int, state_bytes: int) -> None:
-        """Drop what all followers have (`acked`), and beyond the bound the oldest that is committed."""
-        bound = min(MOST_BYTES, max(LEAST_BYTES, state_bytes))
+        """Drop the batches that all followers have (`acked`), and committed ones above the size limit."""
+        limit_bytes = min(MAX_BYTES, max(MIN_LIMIT_BYTES, state_bytes))
         while self._batches:
             sequence = self._batches[0][0].sequence
-            if sequence > acked and (sequence > committed or self._bytes <= bound):
+            if sequence > acked and (sequence > committed or self._bytes <= limit_bytes):
                 return
             self._bytes -= self._batches.popleft()[1]
 
--- a/flintfield/coordination/candidacy.py
+++ b/flintfield/coordination/candidacy.py
@@ -1,8 +1,9 @@
-"""The campaign of one replica for an epoch. No I/O.
+"""The election campaign of one replica for an epoch. No I/O.
 
-First a probe, which changes nothing: a replica that merely lost its own links must not depose a leader whom
-all others hear (the pre-vote of Ongaro's Raft dissertation, section 9.6). Then the promise of a majority,
-whose highest position is where the new epoch's history begins.
+The candidate first sends a probe, which changes no state: a replica that has merely lost its own links must
+not depose a leader that all other replicas can reach (the pre-vote of Ongaro's Raft dissertation, section
+9.6). It then collects the promises of a majority; the history of the new epoch begins at the highest position
+reported in these promises.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class CampaignPhase(enum.Enum):
-    """How far the campaign is."""
+    """The phase of a campaign."""
 
     PROBING = 1
     PREPARING = 2
@@ -23,7 +24,7 @@
 
 
 class Candidacy:
-    """The state machine of one campaign, under one core set."""
+    """The candidate's state machine for one campaign in one core set."""
 
     def __init__(self, core: CoreSet, identity: int, boot: int, promised: int) -> None:
         self.core = core
@@ -35,17 +36,17 @@
         self.source = 0
         self.newer: CoreSet | None = None
         self.sealed = False
-        self._yes: set[int] = set()
-        self._no: set[int] = set()
+        self._granted: set[int] = set()
+        self._rejected: set[int] = set()
 
     @property
     def request(self) -> PrepareEpoch:
-        """What to send to all members in this phase."""
+        """The request to send to all members in the current phase."""
         probe = self.phase is CampaignPhase.PROBING
         return PrepareEpoch(self.core.version, self.epoch, self.identity, self.boot, probe)
 
     def take(self, answer: object) -> CampaignPhase:
-        """Count an answer; those of other epochs and phases do nothing."""
+        """Process an answer. Answers to other epochs and phases have no effect."""
         if isinstance(answer, EpochPromised):
             self._promised(answer)
         elif isinstance(answer, Refused):
@@ -59,19 +60,19 @@
             return
         if self.phase is CampaignPhase.PREPARING and self._better(answer.replica, answer.position):
             self.base, self.source = answer.position, answer.replica
-        self._yes.add(answer.replica)
-        if len(self._yes) >= self.core.majority:
+        self._granted.add(answer.replica)
+        if len(self._granted) >= self.core.majority:
             self._advance()
 
     def _better(self, replica: int, position: Position) -> bool:
-        """The own store is preferred among equals: it needs no fetching."""
+        """Whether this position is a better base. On a tie, the own store wins: it needs no fetch."""
         return not self.source or position > self.base or (position == self.base and replica == self.identity)
 
     def _advance(self) -> None:
-        won = self.phase is CampaignPhase.PROBING
-        self.phase = CampaignPhase.PREPARING if won else CampaignPhase.PREPARED
-        self._yes.clear()
-        self._no.clear()
+        probe_granted = self.phase is CampaignPhase.PROBING
+        self.phase = CampaignPhase.PREPARING if probe_granted else CampaignPhase.PREPARED
+        self._granted.clear()
+        self._rejected.clear()
 
     def _refused(self, answer: Refused) -> None:
         if self.phase not in (CampaignPhase.PROBING, CampaignPhase.PREPARING):
@@ -80,17 +81,17 @@
             return
         probing = self.phase is CampaignPhase.PROBING
         if probing and answer.kind is Refusal.BALLOT and answer.epoch >= self.epoch:
-            self._restart_probe(answer.epoch)
+            self._lose_probe(answer.epoch)
             return
-        self._no.add(answer.replica)
+        self._rejected.add(answer.replica)
         self.sealed = self.sealed or answer.kind is Refusal.SEALED
         if answer.core is not None and answer.core.version > self.core.version:
             self.newer = answer.core
             self.phase = CampaignPhase.LOST
-        if len(self._no) > len(self.core.members) - self.core.majority:
+        if len(self._rejected) > len(self.core.members) - self.core.majority:
             self.phase = CampaignPhase.LOST
 
-    def _restart_probe(self, promised: int) -> None:
-        """A higher epoch was promised: the probe was for nothing, and is lost; the next one knows better."""
+    def _lose_probe(self, promised: int) -> None:
+        """End the campaign because an equal or higher epoch was promised; the next one starts above it."""
         self.epoch = promised + 1
         self.phase = CampaignPhase.LOST
--- a/flintfield/coordination/clocks.py
+++ b/flintfield/coordination/clocks.py
@@ -1,20 +1,20 @@
-"""Common time: the median of the replicas' wall clocks."""
+"""Cluster time: the median of the replicas' wall clocks."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 
-def median_offset(offsets: Sequence[int], before: int | None) -> int | None:
-    """The median; of two middle values the one nearer to the estimate before, so that one clock that jumps
-    moves nothing.
+def median_offset(offsets: Sequence[int], previous: int | None) -> int | None:
+    """Return the median offset.
 
-    Without any offset the estimate before stands.
+    If there are two middle values, the one closer to the previous estimate is returned, so that a jump of a
+    single clock does not change the result. If there are no offsets, the previous estimate is returned.
     """
     if not offsets:
-        return before
-    ranked = sorted(offsets)
-    low, high = ranked[(len(ranked) - 1) // 2], ranked[len(ranked) // 2]
-    if low == high or before is None:
+        return previous
+    sorted_offsets = sorted(offsets)
+    low, high = sorted_offsets[(len(sorted_offsets) - 1) // 2], sorted_offsets[len(sorted_offsets) // 2]
+    if low == high or previous is None:
         return low
-    return low if abs(low - before) <= abs(high - before) else high
+    return low if abs(low - previous) <= abs(high - previous) else high
--- a/flintfield/coordination/follower.py
+++ b/flintfield/coordination/follower.py
@@ -1,7 +1,8 @@
-"""The follower of the ordered store: promises of epochs, and a prefix of what the leader wrote.
+"""The follower of the ordered store: it promises epochs and applies the leader's batches in order.
 
-Primary order as in Viewstamped Replication and Zab, without a log: the items themselves are the state, and
-`Position` names the batch up to which they stand. No I/O; `Replica` checks core sets and carries the changes.
+The protocol is primary-order replication as in Viewstamped Replication and Zab, but without a log: the items
+themselves are the state, and `Position` names the last batch that they contain. No I/O; `Replica` checks the
+core set of each request and passes the changes to the shell.
 """
 
 from __future__ import annotations
@@ -28,16 +29,16 @@
 
 
 def item_changes(changes: Sequence[Change]) -> list[Pair]:
-    """Changes of items as changes of the replica's store."""
+    """Convert changes of items into changes of the replica's store."""
     return [(ITEM_PREFIX + change.key, change.value) for change in changes]
 
 
 class Follower:
-    """State of the ordered store at one replica; `order` is what is on disk (or on its way there).
+    """State of the ordered store at one replica; `order` is the record that is on disk or being written.
 
-    `guarded_until_ms`: until then a lease may hold that this replica acknowledged before its start, or that
-    was acknowledged in the set before; only `order.holder`, whose earlier life must have ended for it to ask,
-    is exempt.
+    Until `guarded_until_ms`, a lease may be in force that this replica acknowledged before its start, or that
+    was acknowledged in the previous core set, so no other candidate gets a promise. Only `order.holder` is
+    exempt: if it asks for a promise, the process that held the lease must have ended.
     """
 
     def __init__(self, order: StoredOrder, guarded_until_ms: int) -> None:
@@ -54,15 +55,15 @@
     # Promises.
 
     def prepare(self, now_ms: int, request: PrepareEpoch) -> tuple[Refusal | EpochPromised, list[Pair]]:
-        """Promise the epoch, or say why not."""
+        """Promise the epoch, or return the reason for the refusal."""
         order = self.order
-        asker = (request.candidate, request.boot)
-        again = request.epoch == order.promised and asker == (order.candidate, order.boot)
-        if request.epoch <= order.promised and not again:
+        requester = (request.candidate, request.boot)
+        repeated = request.epoch == order.promised and requester == (order.candidate, order.boot)
+        if request.epoch <= order.promised and not repeated:
             return Refusal.BALLOT, []
         if self.leased(now_ms, request.candidate):
             return Refusal.LEASE, []
-        if request.probe or again:
+        if request.probe or repeated:
             return self._yes(request), []
         self.promised_ms = now_ms
         pair = self._order_pair(
@@ -74,20 +75,23 @@
         return EpochPromised(0, request.epoch, self.order.promised, self.order.position, request.probe)
 
     def leased(self, now_ms: int, candidate: int) -> bool:
-        """Whether somebody other than the candidate may hold a lease that this replica acknowledged."""
+        """Whether a replica other than the candidate may hold a lease that this replica acknowledged."""
         if candidate == self.order.holder:
             return False
         return now_ms < max(self.heard_ms + PROMISE_GUARD_MS, self.guarded_until_ms)
 
     def release(self) -> None:
-        """The leader has stopped acting: its lease binds nobody any more."""
+        """Stop honouring the lease, because the leader has resigned."""
         self.heard_ms = NEVER_MS
         self.guarded_until_ms = NEVER_MS
 
     # The leader's messages.
 
     def hear(self, now_ms: int, epoch: int, leader: int, boot: int) -> tuple[Refusal | None, list[Pair]]:
-        """A message of the leader of that epoch; its first one is noted durably, as it may renew a lease."""
+        """Process a sign of life from the leader of this epoch.
+
+        The first message of a leader is recorded durably, because the answer may renew its lease.
+        """
         order = self.order
         if epoch < order.promised:
             return Refusal.BALLOT, []
@@ -98,7 +102,7 @@
         return None, [pair]
 
     def append(self, now_ms: int, request: Append) -> tuple[Refusal | None, list[Pair]]:
-        """Take the batches that follow the own position; those that are there already are passed over."""
+        """Apply the batches that follow the current position, skipping those that are already applied."""
         order = self.order
         if request.epoch < order.promised:
             return Refusal.BALLOT, []
@@ -119,7 +123,7 @@
         return None, changes
 
     def adopt(self, now_ms: int, request: Adopt) -> tuple[Refusal | None, list[Pair]]:
-        """Take over the own items as the start of the leader's epoch, if they are the ones that it means."""
+        """Use the current items as the base of the leader's epoch if they stand at the requested position."""
         refusal, changes = self.hear(now_ms, request.epoch, request.leader, request.boot)
         if refusal is not None or self.order.position.epoch == request.epoch:
             return refusal, changes
@@ -131,7 +135,7 @@
     def install(
         self, now_ms: int, request: Install
     ) -> tuple[Refusal | None, list[Pair], list[tuple[bytes, bytes]] | None]:
-        """Gather the parts of a whole state; the last one brings the replacement of all items."""
+        """Collect the parts of a whole state. With the last part, return the replacement of all items."""
         refusal, changes = self.hear(now_ms, request.epoch, request.leader, request.boot)
         if refusal is not None:
             return refusal, changes, None
--- a/flintfield/coordination/founding_acceptor.py
+++ b/flintfield/coordination/founding_acceptor.py
@@ -1,10 +1,10 @@
-"""A replica's part in the agreement on the first core set: the acceptor. No I/O.
+"""The acceptor for the agreement on the first core set. No I/O.
 
-The first set is decided when *all* its members have adopted it under one ballot. An acceptor promises to
-adopt nothing under a lower ballot than the highest that it has seen, and tells what it has adopted last; so
-a proposer that has asked all members of its set knows of every set that shares a member with it and may be
-decided (`foundation.first_proposal`). This is single-decree Paxos with the members of the value as the
-quorum.
+The first set is decided when *all* its members have adopted it under one ballot. An acceptor promises not to
+adopt a set under a lower ballot than the highest that it has seen, and reports the set that it adopted last.
+A proposer that has asked all members of its set therefore knows every set that shares a member with it and
+may be decided (`foundation.first_proposal`). This is single-decree Paxos with the members of the value as
+the quorum.
 """
 
 from __future__ import annotations
@@ -17,8 +17,11 @@
 
 
 class FoundingAcceptor:
-    """`stored` is what is durable or about to be; `takes_part` is False for a replica that was formatted
-    later than at the very first start, which adopts nothing."""
+    """The acceptor's state machine.
+
+    `stored` is the state that is durable or about to become durable. `takes_part` is False for a replica that
+    was formatted after the very first start of the cluster; such a replica adopts no set.
+    """
 
     def __init__(self, identity: int, takes_part: bool, stored: StoredFounding) -> None:
         self.stored = stored
@@ -27,28 +30,28 @@
 
     @property
     def adopted(self) -> CoreSet | None:
-        """The first set that was adopted last."""
+        """The most recently adopted first set."""
         return self.stored.adopted
 
     def ask(self, request: AskFounding) -> bool:
-        """Promise the ballot if it is higher than all before; True where that changes what is stored."""
+        """Promise the ballot if it is higher than all earlier ones. Returns whether `stored` changed."""
         if not self._takes_part or request.ballot <= self.stored.promised:
             return False
         self.stored = replace(self.stored, promised=request.ballot)
         return True
 
     def found(self, request: Found) -> bool:
-        """Adopt the set if its ballot still counts; True where that changes what is stored."""
+        """Adopt the set unless a higher ballot was promised. Returns whether `stored` changed."""
         if not self._takes_part or request.core.member(self._identity) is None:
             return False
         if request.ballot < self.stored.promised:
             return False
         if request.ballot == self.stored.accepted and self.adopted is not None:
-            return False  # again, or another set without a ballot, by a process of the release before
+            return False  # repeated, or another set without a ballot from the previous release
         self.stored = StoredFounding(request.ballot, request.ballot, request.core)
         return True
 
     def answer(self, core: CoreSet | None) -> FoundAnswer:
-        """What is told after each request; `core` is the newest decided set known here."""
+        """Return the answer to a request. `core` is the newest decided set known to this replica."""
         stored = self.stored
         return FoundAnswer(self._identity, stored.adopted, core, stored.promised, stored.accepted)
--- a/flintfield/coordination/leader.py
+++ b/flintfield/coordination/leader.py
@@ -1,10 +1,10 @@
-"""The leader of one epoch: brings its history to the followers, counts what is durable at a majority, and its
-lease.
+"""The leader of one epoch: it replicates its history to the followers, and tracks its lease and which batches
+are durable at a majority.
 
-No I/O and no clock. `outgoing(now)` returns what is to be sent; the shell hands each answer back with
-`answered`, each failure with `failed`. Batches have the numbers (epoch, 1), (epoch, 2), ...; (epoch, 0) is
-the state that the election found. A change of the core set keeps the epoch: `change_core` counts all
-acknowledgements anew, under the new set.
+No I/O and no clock. `outgoing(now)` returns the messages to send; the shell reports each answer to `answered`
+and each failure to `failed`. Batches are numbered (epoch, 1), (epoch, 2), ...; (epoch, 0) is the state that
+the election selected. A change of the core set keeps the epoch: `change_core` discards all acknowledgements
+and collects them again from the members of the new set.
 """
 
 from __future__ import annotations
@@ -41,12 +41,16 @@
     TRANSFER_RETRY_MS,
 )
 
-PIPELINE_DEPTH = 4  # appends under way to one follower: a write needn't wait for the round before it
+MAX_APPENDS_IN_FLIGHT = 4  # per follower; a write needn't wait for the answer to the previous one
 
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message for a member; `round` ties the answer to what was in flight, -1 for a heartbeat."""
+    """A message for a member.
+
+    `round` is the value of `Progress.round` at the time of sending, or -1 for a heartbeat. Answers to
+    messages of an earlier round don't count for the messages in flight.
+    """
 
     member: Member
     message: Heartbeat | Adopt | Append | Install
@@ -56,7 +60,7 @@
 
 
 class Leader:
-    """The state machine. `items` is the newest content, durable or not; it belongs to this object."""
+    """The leader's state machine. `items` is the newest content, durable or not; this object owns it."""
 
     def __init__(
         self, core: CoreSet, epoch: int, identity: int, boot: int, base: Position, items: dict[bytes, bytes]
@@ -80,10 +84,10 @@
         self._wall_offset_ms: int | None = None
         self.change_core(core)
 
-    # What its user does.
+    # Operations for the shell.
 
     def write(self, changes: Sequence[Pair]) -> int:
-        """Add a batch; returns its sequence, which is durable once `committed` has reached it."""
+        """Add a batch and return its sequence number; it is durable once `committed` reaches it."""
         self.sequence += 1
         batch = Batch(self.sequence, tuple(Change(key, value) for key, value in changes))
         for key, value in changes:
@@ -93,81 +97,81 @@
         return self.sequence
 
     def _put(self, key: bytes, value: bytes | None) -> None:
-        before = self.items.pop(key, None)
-        if before is not None:
-            self._item_bytes -= len(key) + len(before)
+        old_value = self.items.pop(key, None)
+        if old_value is not None:
+            self._item_bytes -= len(key) + len(old_value)
         if value is not None:
             self.items[key] = value
             self._item_bytes += len(key) + len(value)
 
     def lease_until_ms(self) -> int:
-        """The steady time until which no other leader can have been elected."""
-        times = sorted((progress.lease_from_ms for progress in self.followers.values()), reverse=True)
-        return times[self.core.majority - 1] + LEASE_MS
+        """The end of the lease: until this steady time, no other leader can have been elected."""
+        lease_starts = sorted((progress.lease_from_ms for progress in self.followers.values()), reverse=True)
+        return lease_starts[self.core.majority - 1] + LEASE_MS
 
     def wall_offset_ms(self, now_ms: int) -> int | None:
-        """Common time less the steady clock; None before anybody has told a wall clock."""
-        told = [
+        """Cluster time minus the steady clock, or None until a member has reported its wall clock."""
+        offsets = [
             progress.wall_offset_ms
             for progress in self.followers.values()
             if progress.wall_offset_ms is not None and now_ms - progress.contact_ms < 10 * HEARTBEAT_MS
         ]
-        self._wall_offset_ms = median_offset(told, self._wall_offset_ms)
+        self._wall_offset_ms = median_offset(offsets, self._wall_offset_ms)
         return self._wall_offset_ms
 
     def change_core(self, core: CoreSet) -> None:
-        """Go on under this set, whose members say anew what they have."""
-        known = self.followers
+        """Continue with this core set. Its members are asked again for their positions."""
+        previous_followers = self.followers
         self.core = core
         self.sealed = False
         self.newer = None
         self.followers = {}
         for member in core.members:
             progress = Progress(member)
-            before = known.get(member.identity)
-            if before is not None:
-                progress.contact_ms, progress.wall_offset_ms = before.contact_ms, before.wall_offset_ms
+            previous = previous_followers.get(member.identity)
+            if previous is not None:
+                progress.contact_ms, progress.wall_offset_ms = previous.contact_ms, previous.wall_offset_ms
             self.followers[member.identity] = progress
 
-    # What is to be sent.
+    # Outgoing messages.
 
     def outgoing(self, now_ms: int) -> list[Outgoing]:
-        """All messages that are due."""
+        """Return all messages that are due."""
         out: list[Outgoing] = []
         for progress in self.followers.values():
             if now_ms - progress.heartbeat_ms >= HEARTBEAT_MS:
                 progress.heartbeat_ms = now_ms
-                beat = Heartbeat(self.core.version, self.epoch, self.identity, self.boot)
-                out.append(Outgoing(progress.member, beat, now_ms, CALL_TIMEOUT_MS, -1))
+                heartbeat = Heartbeat(self.core.version, self.epoch, self.identity, self.boot)
+                out.append(Outgoing(progress.member, heartbeat, now_ms, CALL_TIMEOUT_MS, -1))
             if now_ms >= progress.retry_at_ms:
-                self._serve(now_ms, progress, out)
+                self._replicate(now_ms, progress, out)
         return out
 
     def next_due_ms(self) -> int:
-        """When `outgoing` is to be asked again at the latest."""
-        beat_ms = min(progress.heartbeat_ms for progress in self.followers.values()) + HEARTBEAT_MS
+        """The latest time at which `outgoing` must be called again."""
+        heartbeat_due_ms = min(progress.heartbeat_ms for progress in self.followers.values()) + HEARTBEAT_MS
         retries = [progress.retry_at_ms for progress in self.followers.values() if self._is_behind(progress)]
-        return min([beat_ms, *retries])
+        return min([heartbeat_due_ms, *retries])
 
     def _is_behind(self, progress: Progress) -> bool:
-        """Whether there is something to send that is not under way."""
+        """Whether there is something to send and no message is in flight."""
         caught_up = progress.mode is Mode.APPEND and progress.sent >= self.sequence
         return not progress.in_flight and not caught_up
 
-    def _serve(self, now_ms: int, progress: Progress, out: list[Outgoing]) -> None:
+    def _replicate(self, now_ms: int, progress: Progress, out: list[Outgoing]) -> None:
         if progress.mode is Mode.SYNC:
             if not progress.in_flight:
                 adopt = Adopt(self.core.version, self.epoch, self.identity, self.boot, self.base)
                 self._send(now_ms, progress, adopt, APPEND_TIMEOUT_MS, out)
         elif progress.mode is Mode.INSTALL:
             if not progress.in_flight:
-                self._send(now_ms, progress, self._part(progress), CHUNK_TIMEOUT_MS, out)
+                self._send(now_ms, progress, self._install_part(progress), CHUNK_TIMEOUT_MS, out)
         else:
-            while progress.sent < self.sequence and progress.in_flight < PIPELINE_DEPTH:
+            while progress.sent < self.sequence and progress.in_flight < MAX_APPENDS_IN_FLIGHT:
                 batches = self._log.after(progress.sent)
                 if not batches:
                     self._install(progress)
-                    self._serve(now_ms, progress, out)
+                    self._replicate(now_ms, progress, out)
                     return
                 append = Append(self.core.version, self.epoch, progress.sent, batches)
                 progress.sent = batches[-1].sequence
@@ -190,7 +194,7 @@
         parts = parts_of(Change(key, value) for key, value in self.items.items())
         progress.install(self._transfers, self.sequence, parts)
 
-    def _part(self, progress: Progress) -> Install:
+    def _install_part(self, progress: Progress) -> Install:
         index = progress.part
         last = index == len(progress.parts) - 1
         return Install(
@@ -206,14 +210,14 @@
         )
 
     def _trim(self) -> None:
-        """Keep of the log what followers that lag need, and no more than the state's own size."""
+        """Drop log entries that no follower needs, and limit the log to about the size of the whole state."""
         needed = min(progress.acked for progress in self.followers.values())
         self._log.trim(needed, self.committed, self._item_bytes)
 
-    # What comes back.
+    # Answers and failures.
 
     def answered(self, now_ms: int, sent: Outgoing, answer: object) -> None:
-        """A member answered this message."""
+        """Process a member's answer to this message."""
         progress = self.followers.get(sent.member.identity)
         if progress is None or sent.message.core != self.core.version:
             return
@@ -229,11 +233,11 @@
             self._appended(progress, sent, answer)
 
     def failed(self, now_ms: int, sent: Outgoing) -> None:
-        """No answer came in time, or the connection broke."""
+        """Process a timeout or a broken connection."""
         progress = self.followers.get(sent.member.identity)
         if progress is None or sent.message.core != self.core.version or sent.round != progress.round:
             return
-        progress.give_up_flight()
+        progress.reset_in_flight()
         progress.retry_at_ms = now_ms + TRANSFER_RETRY_MS
 
     def _appended(self, progress: Progress, sent: Outgoing, answer: Appended) -> None:
@@ -244,13 +248,13 @@
                 progress.append_from(answer.position.sequence)
             progress.acked = max(progress.acked, answer.position.sequence)
             progress.sent = max(progress.sent, progress.acked)
-            self._count()
+            self._update_committed()
         elif progress.mode is Mode.INSTALL and isinstance(sent.message, Install):
             if sent.message.transfer == progress.transfer and answer.index == progress.part:
                 progress.part += 1
 
-    def _count(self) -> None:
-        """Raise `committed` to what a majority of the present set has."""
+    def _update_committed(self) -> None:
+        """Raise `committed` to the newest sequence that is durable at a majority of the current set."""
         acked = sorted((progress.acked for progress in self.followers.values()), reverse=True)
         self.committed = max(self.committed, acked[self.core.majority - 1])
         self._trim()
@@ -264,19 +268,19 @@
         if sent.round == -1 or sent.round != progress.round:
             return
         if answer.kind is not Refusal.GAP:
-            progress.give_up_flight()
+            progress.reset_in_flight()
             pause_ms = min(INACTIVE_RETRY_MS << min(progress.refusals, 8), INACTIVE_LONGEST_MS)
             progress.refusals += 1
             progress.retry_at_ms = now_ms + pause_ms
         elif progress.mode is Mode.APPEND and answer.position.epoch == self.epoch:
             progress.append_from(max(progress.acked, answer.position.sequence))
-            self._count()
+            self._update_committed()
         else:
-            again = progress.mode is Mode.INSTALL
+            retrying = progress.mode is Mode.INSTALL
             self._install(progress)
-            progress.retry_at_ms = now_ms + TRANSFER_RETRY_MS if again else now_ms
+            progress.retry_at_ms = now_ms + TRANSFER_RETRY_MS if retrying else now_ms
 
     def silent_ms(self, now_ms: int, identity: int) -> int:
-        """For how long nothing has come from that member."""
+        """The time since the last answer from this member."""
         progress = self.followers.get(identity)
         return now_ms - (progress.contact_ms if progress is not None else NEVER_MS)
--- a/flintfield/coordination/model.py
+++ b/flintfield/coordination/model.py
@@ -1,4 +1,4 @@
-"""The values that all coordination protocols share, and the errors that its users see."""
+"""Types shared by all coordination protocols, and the errors that their users see."""
 
 from __future__ import annotations
 
@@ -9,21 +9,25 @@
 from flintfield.transport.records import record
 
 Clock = Callable[[], int]
-"""A clock that is handed in; milliseconds."""
+"""A function that returns the current time in milliseconds."""
 
 
 class NoQuorum(Exception):
-    """No majority of the core answered in time. For a change, the outcome is unknown."""
+    """No majority of the core answered in time. The outcome of a change is unknown."""
 
 
 class Deposed(Exception):
-    """This process no longer leads; a write that was under way may have been taken or not."""
+    """This process is no longer the leader. The outcome of a write in progress is unknown."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """The rank of a proposal: version of the core set first, so that what was brought over from an older set
-    ranks below everything proposed in the newer one. `proposer` is drawn by each process at its start."""
+    """The rank of a proposal.
+
+    The version of the core set ranks first, so that a value that was carried over from an older set ranks
+    below every value proposed in the newer one. `proposer` is a random number that each process draws at its
+    start.
+    """
 
     core: int
     counter: int
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """The place of a batch in the ordered store's history. Equal positions mean equal contents."""
+    """The place of a batch in the history of the ordered store. Equal positions imply equal contents."""
 
     epoch: int
     sequence: int
@@ -46,8 +50,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A replica of a core set. `identity` was drawn when its store was formatted; `address` is its RPC
-    address."""
+    """A replica of a core set. `identity` is a random number, drawn when the store was formatted; `address`
+    is the RPC address."""
 
     name: str
     address: str
@@ -58,9 +62,10 @@
 @record(280)
 @dataclass(frozen=True, slots=True)
 class CoreSet:
-    """The replicas of one version; versions rise by one. `members` stand in the agreed order, by name.
+    """The replicas of one version of the core; each change raises the version by one.
 
-    `previous` are the members of the version before, from whom a new member fetches the state.
+    `members` are in the canonical order, sorted by name. `previous` are the members of the previous version,
+    from which a new member fetches the state.
     """
 
     version: int
@@ -70,7 +75,7 @@
 
     @property
     def majority(self) -> int:
-        """How many members are more than half."""
+        """The smallest number of members that is more than half."""
         return len(self.members) // 2 + 1
 
     def member(self, identity: int) -> Member | None:
@@ -81,7 +86,7 @@
         return None
 
     def place(self, identity: int) -> int:
-        """Its place in the agreed order, from 0; the number of members for a stranger."""
+        """Return the index in the canonical order, from 0, or the number of members for a non-member."""
         for place, member in enumerate(self.members):
             if member.identity == identity:
                 return place
@@ -89,14 +94,14 @@
 
 
 def ordered(members: tuple[Member, ...] | list[Member]) -> tuple[Member, ...]:
-    """Members in the agreed order."""
+    """Return the members in the canonical order."""
     return tuple(sorted(members, key=lambda member: (member.name, member.identity)))
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderView:
-    """The newest leader that a process knows of. `heard_ms`: steady time at which it was last heard of
-    here."""
+    """The newest leader that a process knows. `heard_ms` is the steady time at which this process last
+    received news of it."""
 
     epoch: int
     name: str
@@ -105,21 +110,21 @@
 
 
 class Register(enum.IntEnum):
-    """The registers that a replica keeps: the configuration, and the successor of the core set it is active
-    in."""
+    """The registers of a replica: the configuration, and the successor of the core set in which the replica
+    is active."""
 
     CONFIGURATION = 1
     SUCCESSOR = 2
 
 
 class Refusal(enum.IntEnum):
-    """Why a replica did not do what it was asked."""
+    """The reason why a replica refused a request."""
 
-    OLD_SET = 1  # the asker's core set is older; the newer is told
-    INACTIVE = 2  # the replica is not active in the asker's core set
-    SEALED = 3  # the replica has accepted a successor of the set
+    OLD_SET = 1  # the requester's core set is outdated; the answer contains the newer one
+    INACTIVE = 2  # the replica is not active in the requester's core set
+    SEALED = 3  # the replica has accepted a successor of the core set
     BALLOT = 4  # a higher ballot or epoch was promised
-    LEASE = 5  # a live leader was heard a moment ago
+    LEASE = 5  # the lease of another leader may still be in force
     GAP = 6  # the batch does not follow the replica's position
-    BROKEN = 7  # the replica's store takes nothing
-    LACKS_BASE = 8  # the accepted value is not the one that the difference builds on
+    BROKEN = 7  # the replica's store can't be written
+    LACKS_BASE = 8  # the accepted value is not the base of the delta
--- a/flintfield/coordination/register_messages.py
+++ b/flintfield/coordination/register_messages.py
@@ -1,7 +1,7 @@
-"""What proposers, replicas and readers of the registers say to one another (CASPaxos): records 201 to 209.
+"""The messages between proposers, replicas and readers of the registers (CASPaxos): records 201 to 209.
 
-A ballot is used for one value only, so a ballot names a value. What is agreed is therefore agreed by ballots;
-a value travels to who lacks it, once, and as a difference to one that the receiver has where there is such.
+Each ballot is used for only one value, so a ballot identifies a value, and agreement needs ballots only. A
+value is sent once to each receiver that lacks it, as a delta if the receiver has a suitable base value.
 """
 
 from __future__ import annotations
@@ -15,8 +15,10 @@
 @record(201)
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Promise to take nothing below this ballot, and tell what was accepted. `ballots_only`: leave the value
-    out; a replica of the release before tells it all the same."""
+    """Request for a promise to accept nothing below this ballot, and for the accepted value.
+
+    `ballots_only` asks to omit the value; a replica of the previous release sends it anyway.
+    """
 
     core: int
     register: Register
@@ -27,8 +29,8 @@
 @record(202)
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """The promise for `ballot`, with the accepted ballot (`NO_BALLOT`: none) and its value, which is None
-    where it was left out (`omitted`)."""
+    """The promise for `ballot`, with the accepted ballot (`NO_BALLOT` if there is none) and its value, which
+    is None if it was omitted (`omitted`)."""
 
     replica: int
     ballot: Ballot
@@ -40,7 +42,7 @@
 @record(203)
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Accept this value."""
+    """Request to accept this value."""
 
     core: int
     register: Register
@@ -51,7 +53,7 @@
 @record(204)
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The value of `ballot` is durable here."""
+    """The value of `ballot` is durable at this replica."""
 
     replica: int
     ballot: Ballot
@@ -60,7 +62,7 @@
 @record(205)
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """One-way, of the release before: the configuration of this ballot was accepted by a majority."""
+    """One-way message of the previous release: a majority accepted the configuration of this ballot."""
 
     ballot: Ballot
     value: bytes | None
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueDelta:
-    """A value as the difference to the one with the digest `base`; `digest` is its own."""
+    """A value as a delta against the value with the digest `base`. `digest` is that of the new value."""
 
     base: bytes
     patch: bytes
@@ -78,8 +80,9 @@
 @record(206)
 @dataclass(frozen=True, slots=True)
 class AcceptDelta:
-    """Accept the value that this difference gives, or refuse with `LACKS_BASE` where the accepted value is
-    not its base. A release before knows no such request, and rejects it unread."""
+    """Request to accept the value that this delta produces. It is refused with `LACKS_BASE` if the accepted
+    value is not the delta's base. Earlier releases don't know this request and reject it without decoding
+    it."""
 
     core: int
     register: Register
@@ -90,7 +93,7 @@
 @record(207)
 @dataclass(frozen=True, slots=True)
 class BallotCommitted:
-    """One-way: the configuration of this ballot was accepted by a majority."""
+    """One-way message: a majority accepted the configuration of this ballot."""
 
     ballot: Ballot
 
@@ -98,7 +101,8 @@
 @record(208)
 @dataclass(frozen=True, slots=True)
 class AskValue:
-    """What is the configuration of `ballot`? `known` is the digest of a value that the asker has, or b""."""
+    """Request for the configuration of `ballot`. `known` is the digest of a value that the requester has, or
+    b""."""
 
     ballot: Ballot
     known: bytes = b""
@@ -107,8 +111,8 @@
 @record(209)
 @dataclass(frozen=True, slots=True)
 class ValueAnswer:
-    """The configuration of the ballot that was asked for, whole or as a difference to what the asker has;
-    `found` is False where it isn't known here (any more)."""
+    """The configuration of the requested ballot, whole or as a delta against the requester's value. `found`
+    is False if the replica doesn't know the configuration or no longer keeps it."""
 
     found: bool
     value: bytes | None = None
--- a/flintfield/coordination/registers.py
+++ b/flintfield/coordination/registers.py
@@ -1,6 +1,6 @@
-"""The acceptors of a replica's two registers (CASPaxos): what a request makes of them. No I/O.
+"""The CASPaxos acceptors of a replica's two registers. No I/O.
 
-Whether a request is for this replica as it stands is looked at before, by `replica`.
+`replica` first checks whether the replica may process a request in its current state.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 _KEYS = {Register.CONFIGURATION: CONFIGURATION_KEY, Register.SUCCESSOR: SUCCESSOR_KEY}
 
 Outcome = tuple[Promised | Accepted | Refusal, list[Pair]]
-"""The answer or why there is none, and what is to be stored before it is sent."""
+"""The answer or the reason for a refusal, and the changes to store before the answer is sent."""
 
 
 class Registers:
-    """The state of both acceptors, as last stored."""
+    """The most recently stored state of both acceptors."""
 
     def __init__(self, identity: int, stored: Mapping[bytes, bytes]) -> None:
         self._identity = identity
@@ -37,15 +37,15 @@
 
     @property
     def sealed(self) -> bool:
-        """Whether a successor of the active set was accepted here."""
+        """Whether this replica has accepted a successor of the active set."""
         return self._states[Register.SUCCESSOR].accepted != NO_BALLOT
 
     def promised(self, register: Register) -> Ballot:
-        """The highest ballot promised."""
+        """The highest promised ballot of a register."""
         return self._states[register].promised
 
     def prepare(self, request: Prepare) -> Outcome:
-        """Promise, unless a higher ballot was promised."""
+        """Promise the ballot unless a higher one was promised."""
         state = acceptor.prepare(self._states[request.register], request.ballot)
         if state is None:
             return Refusal.BALLOT, []
@@ -55,23 +55,23 @@
         return Promised(self._identity, request.ballot, state.accepted, state.value), changes
 
     def accept(self, request: Accept) -> Outcome:
-        """Accept, unless a higher ballot was promised."""
+        """Accept the value unless a higher ballot was promised."""
         state = acceptor.accept(self._states[request.register], request.ballot, request.value)
         if state is None:
             return Refusal.BALLOT, []
         return Accepted(self._identity, request.ballot), self._put(request.register, state)
 
     def accept_delta(self, request: AcceptDelta) -> Outcome:
-        """Accept the value that the difference gives, where its base is what was accepted here."""
+        """Accept the value that the delta produces if its base is the value accepted by this replica."""
         state = self._states[request.register]
-        doubled = state.accepted == request.ballot
-        value = state.value if doubled else patched(state.value, request.delta)
+        is_repeated = state.accepted == request.ballot
+        value = state.value if is_repeated else patched(state.value, request.delta)
         if value is None:
             return Refusal.LACKS_BASE, []
         return self.accept(Accept(request.core, request.register, request.ballot, value))
 
     def begin(self, configuration: StoredAcceptor) -> list[Pair]:
-        """Start over in a new set, with this configuration and no successor."""
+        """Reset the registers for a new core set, with this configuration and no successor."""
         self._states = {Register.CONFIGURATION: configuration, Register.SUCCESSOR: StoredAcceptor()}
         return [(CONFIGURATION_KEY, encode(configuration)), (SUCCESSOR_KEY, None)]
 
--- a/flintfield/coordination/replica.py
+++ b/flintfield/coordination/replica.py
@@ -1,12 +1,12 @@
-"""A replica: the acceptors of two registers and the follower of the ordered store, under one core set.
+"""A replica: the acceptors of two registers and the follower of the ordered store, in one core set.
 
-`Replica.step(now_ms, message)` is the whole state machine; it has no I/O and no clock. It is made anew from
-the stored records at each start, which is all that survives. Rules that hold across the parts:
+`Replica.step(now_ms, message)` is the whole state machine; it has no I/O and no clock. At each start it is
+created from the stored records, which are the only state that survives a restart. Rules for all parts:
 
-- A replica serves only the core set that it is active in, and only while it has accepted no successor of it
-  (sealed) and knows of no newer set.
-- It becomes active in a set by `activate`, with a whole state that contains everything committed in the set
-  before.
+- A replica serves only the core set in which it is active, and only until it accepts a successor of that set
+  (it is then sealed) or learns of a newer set.
+- It becomes active in a set by `activate`, with a whole state that contains everything committed in the
+  previous set.
 """
 
 from __future__ import annotations
@@ -58,25 +58,27 @@
 from flintfield.transport.records import decode, encode
 
 HANDLED = (*REPLICA_REQUESTS, AskFounding, Found)
-"""The kinds of message that a replica takes."""
+"""The types of the messages that a replica handles."""
 
 RegisterRequest = Prepare | Accept | AcceptDelta
 
 
 class Replica:
-    """The state machine. `stored` is the live view of the store's items, which the shell keeps in step."""
+    """The replica's state machine. `stored` is a live view of the store's items, which the shell updates."""
 
     def __init__(self, stored: Mapping[bytes, bytes], now_ms: int, wall_ms: Callable[[], int]) -> None:
-        own: StoredIdentity = decode(stored[IDENTITY_KEY])
-        self.identity = own.identity
-        self.founding = own.founding
+        identity_record: StoredIdentity = decode(stored[IDENTITY_KEY])
+        self.identity = identity_record.identity
+        self.founding = identity_record.founding
         self.active: CoreSet | None = load(stored, ACTIVE_KEY)
         self.newest: CoreSet | None = load(stored, KNOWN_KEY) or self.active
-        self.foundation = FoundingAcceptor(own.identity, own.founding, load_founding(stored))
+        self.foundation = FoundingAcceptor(
+            identity_record.identity, identity_record.founding, load_founding(stored)
+        )
         order = load(stored, ORDER_KEY) or StoredOrder()
-        guard = now_ms + PROMISE_GUARD_MS if order.holder or order.promised else now_ms
-        self.follower = Follower(order, guard)
-        self._registers = Registers(own.identity, stored)
+        guarded_until_ms = now_ms + PROMISE_GUARD_MS if order.holder or order.promised else now_ms
+        self.follower = Follower(order, guarded_until_ms)
+        self._registers = Registers(identity_record.identity, stored)
         self._wall_ms = wall_ms
         self.snapshots = Snapshots(stored)
         self._handlers: dict[type, Callable[[int, Any], Step]] = {
@@ -102,12 +104,12 @@
 
     @property
     def sealed(self) -> bool:
-        """Whether a successor of the active set was accepted here."""
+        """Whether this replica has accepted a successor of the active set."""
         return self._registers.sealed
 
     @property
     def serving(self) -> CoreSet | None:
-        """The set for which it takes requests, or None."""
+        """The core set for which the replica accepts requests, or None."""
         if self.active is None or self.sealed:
             return None
         if self.newest is not None and self.newest.version > self.active.version:
@@ -115,10 +117,10 @@
         return self.active
 
     def step(self, now_ms: int, message: object) -> Step:
-        """Take one message in."""
+        """Process one message."""
         return self._handlers[type(message)](now_ms, message)
 
-    # Whether a request is for this replica as it stands.
+    # Checks of the core set.
 
     def _refusal(self, version: int) -> Refusal | None:
         if self.active is None or version > self.active.version:
@@ -130,11 +132,11 @@
     def _refused(
         self,
         kind: Refusal,
-        asked: int,
+        requested_version: int,
         changes: list[Pair] | None = None,
         register: Register = Register.CONFIGURATION,
     ) -> Step:
-        newer = self.newest if self.newest is not None and self.newest.version > asked else None
+        newer = self.newest if self.newest is not None and self.newest.version > requested_version else None
         order = self.follower.order
         ballot = self._registers.promised(register)
         reply = Refused(kind, self.identity, newer, ballot, order.promised, order.position)
@@ -143,26 +145,26 @@
     # The registers.
 
     def _prepare(self, now_ms: int, request: Prepare) -> Step:
-        return self._ask_register(request, self._registers.prepare)
+        return self._handle_register_request(request, self._registers.prepare)
 
     def _accept(self, now_ms: int, request: Accept) -> Step:
-        return self._ask_register(request, self._registers.accept)
+        return self._handle_register_request(request, self._registers.accept)
 
     def _accept_delta(self, now_ms: int, request: AcceptDelta) -> Step:
-        return self._ask_register(request, self._registers.accept_delta)
+        return self._handle_register_request(request, self._registers.accept_delta)
 
-    def _ask_register(self, request: RegisterRequest, take: Callable[[Any], Outcome]) -> Step:
+    def _handle_register_request(self, request: RegisterRequest, handle: Callable[[Any], Outcome]) -> Step:
         refusal = self._refusal(request.core)
-        if refusal is not None and not self._settles_successor(refusal, request):
+        if refusal is not None and not self._allowed_while_sealed(refusal, request):
             return self._refused(refusal, request.core)
-        answer, changes = take(request)
+        answer, changes = handle(request)
         if isinstance(answer, Refusal):
             return self._refused(answer, request.core, register=request.register)
         return Step(answer, changes)
 
     @staticmethod
-    def _settles_successor(refusal: Refusal, request: RegisterRequest) -> bool:
-        """A sealed replica still takes part in agreeing on the successor."""
+    def _allowed_while_sealed(refusal: Refusal, request: RegisterRequest) -> bool:
+        """Whether a sealed replica may process the request: it still helps to agree on the successor."""
         return refusal is Refusal.SEALED and request.register is Register.SUCCESSOR
 
     # The ordered store.
@@ -224,18 +226,18 @@
             self.follower.release()
         return Step(Resigned(self.identity), at_once=True)
 
-    # Whole states.
+    # Snapshots of the whole state.
 
     def _ask_state(self, now_ms: int, request: AskState) -> Step:
         if request.transfer:
             self.snapshots.take(now_ms, request.transfer)
         order, register = self.follower.order, self.configuration
-        stopped = self.active is not None and self.serving is None
+        is_stopped = self.active is not None and self.serving is None
         return Step(
             StateAnswer(
                 self.identity,
                 self.active,
-                stopped,
+                is_stopped,
                 order.promised,
                 order.position,
                 register.accepted,
@@ -249,15 +251,15 @@
     # Core sets.
 
     def learn(self, core: CoreSet) -> list[Pair]:
-        """A decided core set is known; returns what is to be stored."""
+        """Record a decided core set and return the changes to store."""
         if self.newest is not None and core.version <= self.newest.version:
             return []
         self.newest = core
         return [(KNOWN_KEY, encode(core))]
 
     def activate(self, now_ms: int, core: CoreSet, state: WholeState) -> Step:
-        """Be active in `core` with that state, which `transfer` has gathered. Nothing to do if it is so
-        already."""
+        """Become active in `core` with this state, which `transfer` has gathered. Has no effect if the
+        replica is already active in this set or a newer one."""
         if self.active is not None and self.active.version >= core.version:
             return Step(None)
         order = StoredOrder(promised=state.promised, position=state.position)
--- a/flintfield/coordination/step.py
+++ b/flintfield/coordination/step.py
@@ -1,4 +1,4 @@
-"""What a step of a replica's state machine asks of its shell."""
+"""The effects of a step of a replica's state machine, which the shell carries out."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 class Step:
     """The effects of one message.
 
-    The shell applies `changes` before it hands the next message in, and atomically with them, where it isn't
-    None, `replacement`, which takes the place of all items of the ordered store. It sends `reply` once the
-    store is durable up to here; also without changes of its own, because the reply may tell of earlier ones.
-    `at_once` marks a reply that tells nothing of registers or items: before it, only promises, and who holds
-    the lease, must be durable.
+    The shell applies `changes` before it passes the next message to the state machine. If `replacement` isn't
+    None, it replaces all items of the ordered store atomically with `changes`. The shell sends `reply` once
+    the store is durable up to this step, even if the step has no changes, because the reply may depend on
+    earlier ones. `at_once` marks a reply that doesn't depend on registers or items: only promises and the
+    holder of the lease must be durable before it is sent.
     """
 
     reply: object
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Staged:
-    """The parts of an installation that have come so far."""
+    """The parts of a whole state that a follower has received so far."""
 
     epoch: int
     transfer: int
