--- a/tests/system/coordination_storm.py
+++ b/tests/system/coordination_storm.py
@@ -1,4 +1,4 @@
-"""A storm of random faults over a world, and the calm after it."""
+"""Random faults in a simulated cluster, and the check that it recovers afterwards."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .coordination_world import RESTART_MS, Machine, Violation, World
 
-CALM_MS = 12_000  # longest time until all is well again; the bound of the pages is 12 s for everything
-LONGEST_FAULT_MS = 4_000
+RECOVERY_MS = 12_000  # the longest permitted time for a full recovery; the documented limit is 12 s
+MAX_FAULT_MS = 4_000
 
 
-class Storm:
-    """Draws faults and client work from the world's randomness."""
+class RandomFaults:
+    """Injects faults and client work, chosen with the world's random generator."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -34,22 +34,22 @@
             self.failing_disk: 1,
         }
 
-    def blow(self, duration_ms: int) -> None:
-        """Faults and work for that time."""
+    def inject(self, duration_ms: int) -> None:
+        """Inject faults and start client work for this time."""
         world = self.world
         end_ms = world.now_ms + duration_ms
         next_fault_ms = world.now_ms + 500
         while world.now_ms < end_ms:
             world.run_for(self.rng.randint(5, 60))
-            self._work()
+            self._start_client_work()
             if world.now_ms >= next_fault_ms:
                 next_fault_ms = world.now_ms + self.rng.choice((20, 150, 600, 1_500, 2_500))
                 fault = self.rng.choices(list(self.faults), list(self.faults.values()))[0]
                 self.log.append(f"{world.now_ms} {fault.__name__}")
                 fault()
 
-    def calm(self) -> None:
-        """All faults end; everything must be well again, and stay so."""
+    def recover_and_check(self) -> None:
+        """End all faults, and check that the cluster recovers and stays stable."""
         world = self.world
         self.heal()
         for machine in world.machines:
@@ -57,34 +57,34 @@
             machine.platter.failing = False
             if machine.process is None:
                 world.after(RESTART_MS, partial(world.restart, machine))
-        world.run_for(LONGEST_FAULT_MS)  # syncs and freezes that are under way end by themselves
-        if not world.run_for(CALM_MS, world.settled):
-            raise Violation("not settled in the calm")
-        leaders = len(world.judge.elections)
+        world.run_for(MAX_FAULT_MS)  # syncs and freezes in progress end by themselves
+        if not world.run_for(RECOVERY_MS, world.settled):
+            raise Violation("the cluster did not settle after the faults ended")
+        elections_before = len(world.judge.elections)
         for _ in range(20):
             world.run_for(100)
-            self._work()
-        acked = len(world.judge.acked)
+            self._start_client_work()
+        acked_before = len(world.judge.acked)
         for process in world.processes():
             world.read(process)
         world.write()
         world.run_for(1_000)
-        if len(world.judge.acked) <= acked - 1 or len(world.judge.elections) != leaders:
-            raise Violation("no progress in the calm, or a leader without need")
-        self._known()
+        if len(world.judge.acked) <= acked_before - 1 or len(world.judge.elections) != elections_before:
+            raise Violation("no progress, or a needless election, after the faults ended")
+        self._check_known()
 
-    def _known(self) -> None:
+    def _check_known(self) -> None:
         for process in self.world.processes():
             known = process.node.known()
             if known is None or self.world.now_ms - known[1] > 1_000:
-                raise Violation(f"{process.machine.name} confirmed only {known and known[1]}")
+                raise Violation(f"{process.machine.name} last confirmed its value at {known and known[1]}")
             self.world.judge.read(known[0], self.world.judge.required)
             view = process.node.leader
             leader = self.world.leader()
             if view is None or leader is None or view.address != leader.address:
                 raise Violation(f"{process.machine.name} does not know the leader: {view}")
 
-    def _work(self) -> None:
+    def _start_client_work(self) -> None:
         world = self.world
         for _ in range(self.rng.randint(0, 3)):
             world.write()
@@ -149,9 +149,9 @@
         leader = self.world.leader()
         if leader is not None and leader.runs():
             leader.loop.create_task(leader.node.resign())
-            self.world.after(500, lambda: self._replace(leader.machine))
+            self.world.after(500, lambda: self._restart_after_resignation(leader.machine))
 
-    def _replace(self, machine: Machine) -> None:
+    def _restart_after_resignation(self, machine: Machine) -> None:
         if machine.process is not None:
             self.world.kill(machine)
 
@@ -159,18 +159,20 @@
         self._machine().wall_step_ms = self.rng.choice((-4_000, 0, 0, 3_000))
 
 
-def play(
+def run_scenario(
     seed: int, duration_ms: int = 20_000, replicas: int = 3, clients: int = 1, tolerance: int = 1
-) -> Storm:
-    """One day: foundation, storm, calm. Raises `Violation` with the seed."""
+) -> RandomFaults:
+    """Run the foundation, a phase of random faults and the recovery. Raises `Violation` with the seed."""
     world = World(seed, replicas, clients, tolerance=tolerance)
-    storm = Storm(world)
+    random_faults = RandomFaults(world)
     try:
         world.start_all()
         if not world.run_for(4_000, world.settled):
-            raise Violation("not founded")
-        storm.blow(duration_ms)
-        storm.calm()
+            raise Violation("the core was not founded in time")
+        random_faults.inject(duration_ms)
+        random_faults.recover_and_check()
     except Exception as error:
-        raise Violation(f"seed {seed}, {world.now_ms} ms, {error!r}, faults {storm.log[-12:]}") from error
-    return storm
+        raise Violation(
+            f"seed {seed}, {world.now_ms} ms, {error!r}, faults {random_faults.log[-12:]}"
+        ) from error
+    return random_faults
--- a/tests/system/test_coordination_faults.py
+++ b/tests/system/test_coordination_faults.py
@@ -1,8 +1,8 @@
-"""Random faults over whole nodes: a few seeds in every run, many by `python -m
-tests.system.test_coordination_faults`.
+"""Random faults with whole nodes: a few seeds in each test run, more by `python -m
+tests.system.test_coordination_faults FIRST LAST`.
 
-The world delays, loses, doubles, reorders and cuts messages, kills, freezes and wipes, slows and breaks
-disks, steps clocks; the judge is in `coordination_world`.
+The simulated cluster delays, loses, duplicates and reorders messages, cuts links, kills and freezes
+processes, wipes, slows and breaks disks, and steps clocks. The judge is in `coordination_world`.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 import sys
 import unittest
 
-from .coordination_storm import play
+from .coordination_storm import run_scenario
 
 
-class Storms(unittest.TestCase):
+class RandomFaultScenarios(unittest.TestCase):
     def test_three_replicas(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                storm = play(seed, 12_000)
-                self.assertGreater(len(storm.world.judge.acked), 50)
+                random_faults = run_scenario(seed, 12_000)
+                self.assertGreater(len(random_faults.world.judge.acked), 50)
 
     def test_four_replicas(self) -> None:
-        play(1_004, 12_000, replicas=4)
+        run_scenario(1_004, 12_000, replicas=4)
 
-    def test_five_replicas_that_bear_two_losses(self) -> None:
-        play(2_005, 12_000, replicas=5, tolerance=2)
+    def test_five_replicas_that_tolerate_two_losses(self) -> None:
+        run_scenario(2_005, 12_000, replicas=5, tolerance=2)
 
 
-def hunt(first: int, last: int) -> None:
-    """Play seeds with 3 to 5 replicas; raises at the first violation."""
+def run_seeds(first: int, last: int) -> None:
+    """Run a range of seeds with 3 to 5 replicas. Raises at the first violation."""
     for seed in range(first, last):
         replicas = 3 + seed % 3
-        play(seed, replicas=replicas, tolerance=2 if replicas == 5 else 1)
+        run_scenario(seed, replicas=replicas, tolerance=2 if replicas == 5 else 1)
 
 
 if __name__ == "__main__":
-    hunt(int(sys.argv[1]), int(sys.argv[2]))
+    run_seeds(int(sys.argv[1]), int(sys.argv[2]))
