--- a/flintfield/coordination/follower.py
+++ b/flintfield/coordination/follower.py
@@ -20,7 +20,7 @@
     PrepareEpoch,
 )
 from flintfield.coordination.model import Position, Refusal
-from flintfield.coordination.step import Staged
+from flintfield.coordination.step import StagedInstall
 from flintfield.coordination.stored import ITEM_PREFIX, ORDER_KEY, StoredOrder
 from flintfield.coordination.timing import PROMISE_GUARD_MS
 from flintfield.transport.records import encode
@@ -46,7 +46,7 @@
         self.heard_ms = NEVER_MS
         self.promised_ms = NEVER_MS
         self.guarded_until_ms = guarded_until_ms
-        self._staged: Staged | None = None
+        self._staged: StagedInstall | None = None
 
     def _order_pair(self, order: StoredOrder) -> Pair:
         self.order = order
@@ -151,10 +151,10 @@
         self._staged = None
         return None, [self._order_pair(replace(self.order, position=target))], staged.pairs
 
-    def _stage(self, request: Install) -> Staged | None:
+    def _stage(self, request: Install) -> StagedInstall | None:
         staged = self._staged
         if request.index == 0:
-            staged = self._staged = Staged(request.epoch, request.transfer)
+            staged = self._staged = StagedInstall(request.epoch, request.transfer)
         if staged is None or (staged.epoch, staged.transfer) != (request.epoch, request.transfer):
             return None
         if request.index != staged.next_index:
--- a/flintfield/coordination/foundation.py
+++ b/flintfield/coordination/foundation.py
@@ -15,7 +15,7 @@
 
 from flintfield.coordination.contacts import FoundAnswer
 from flintfield.coordination.model import CoreSet, Member, ordered
-from flintfield.coordination.timing import FOUNDATION_PATIENCE_MS, FOUNDATION_STABLE_MS
+from flintfield.coordination.timing import FOUNDATION_MAX_WAIT_MS, FOUNDATION_STABLE_MS
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
         """Return the first core set once no new replica has announced itself for `FOUNDATION_STABLE_MS`."""
         if not self._members or now_ms - self._last_arrival_ms < FOUNDATION_STABLE_MS:
             return None
-        waits_for_more = self._strict or now_ms - self._started_ms < FOUNDATION_PATIENCE_MS
+        waits_for_more = self._strict or now_ms - self._started_ms < FOUNDATION_MAX_WAIT_MS
         if waits_for_more and len(self._members) < self._needed:
             return None
         members = ordered(list(self._members.values()))
--- a/flintfield/coordination/leader.py
+++ b/flintfield/coordination/leader.py
@@ -35,7 +35,7 @@
     CALL_TIMEOUT_MS,
     CHUNK_TIMEOUT_MS,
     HEARTBEAT_MS,
-    INACTIVE_LONGEST_MS,
+    MAX_INACTIVE_RETRY_MS,
     INACTIVE_RETRY_MS,
     LEASE_MS,
     TRANSFER_RETRY_MS,
@@ -269,7 +269,7 @@
             return
         if answer.kind is not Refusal.GAP:
             progress.reset_in_flight()
-            pause_ms = min(INACTIVE_RETRY_MS << min(progress.refusals, 8), INACTIVE_LONGEST_MS)
+            pause_ms = min(INACTIVE_RETRY_MS << min(progress.refusals, 8), MAX_INACTIVE_RETRY_MS)
             progress.refusals += 1
             progress.retry_at_ms = now_ms + pause_ms
         elif progress.mode is Mode.APPEND and answer.position.epoch == self.epoch:
--- a/flintfield/coordination/step.py
+++ b/flintfield/coordination/step.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Staged:
+class StagedInstall:
     """The parts of a whole state that a follower has received so far."""
 
     epoch: int
--- a/flintfield/coordination/timing.py
+++ b/flintfield/coordination/timing.py
@@ -21,9 +21,7 @@
 APPEND_TIMEOUT_MS = 700  # an append, which may wait for the sync of a slow disk
 CHUNK_TIMEOUT_MS = 1_500  # a part of a whole state
 VALUE_TIMEOUT_MS = 4_000  # a whole value over a shared link as slow as 2 Mbit/s
-VALUE_HEDGE_MS = (
-    1_000  # then another replica is asked too; earlier would send large values twice on slow links
-)
+VALUE_HEDGE_MS = 1_000  # then another replica is asked too; sooner, slow links would carry large values twice
 READ_BUDGET_MS = 1_500  # one linearizable read, including retries
 CHANGE_BUDGET_MS = 3_000  # one change of the register, including retries; shorter than an operator waits
 CONTENTION_MS = 15  # base of the random backoff after a lost ballot; doubles up to 8 times
@@ -41,15 +39,13 @@
 SEALED_PLACE_MS = 150  # per place in the order, until a sealed replica continues the change of the set
 TRANSFER_RETRY_MS = 100
 INACTIVE_RETRY_MS = 25  # pause after a follower's first refusal because it is not active yet; doubles
-INACTIVE_LONGEST_MS = 200
+MAX_INACTIVE_RETRY_MS = 200
 STAGED_TRANSFER_MS = 5_000  # a snapshot that is not fetched for this long is dropped
 
 FOUNDATION_STABLE_MS = 1_000  # without a new replica; all machines start within 0.3 s of each other
-FOUNDATION_PATIENCE_MS = 4_000  # then a set too small for the configured fault tolerance is accepted
+FOUNDATION_MAX_WAIT_MS = 4_000  # then a set too small for the configured fault tolerance is accepted
 SECOND_FOUNDER_MS = 8_000  # then the second seed founds the core if no process has ever reached the first
-FORGETFUL_FOUNDER_MS = (
-    4_000  # for a seed without stored state; processes that know the core report it by then
-)
+FORGETFUL_FOUNDER_MS = 4_000  # wait of a seed without stored state; others report a known core by then
 
 CHUNK_BYTES = 1024 * 1024  # of a whole state, per message
 SCHEDULERS_KEPT = 64  # other schedulers that a node remembers
--- a/tests/system/test_coordination_foundation.py
+++ b/tests/system/test_coordination_foundation.py
@@ -10,7 +10,7 @@
 from flintfield.coordination.model import NO_BALLOT, Ballot, CoreSet, Member
 from flintfield.coordination.replica import Replica
 from flintfield.coordination.stored import FOUNDING_KEY, format_store
-from flintfield.coordination.timing import FOUNDATION_PATIENCE_MS, FOUNDATION_STABLE_MS
+from flintfield.coordination.timing import FOUNDATION_MAX_WAIT_MS, FOUNDATION_STABLE_MS
 from flintfield.simulation.explore.explorer import explore
 from flintfield.simulation.explore.foundation import foundation_world
 from flintfield.transport.records import encode
@@ -39,7 +39,7 @@
         gathering.note(1, member(1))
         gathering.note(2, member(2))
         self.assertIsNone(gathering.first_set(FOUNDATION_STABLE_MS + 2))
-        core = gathering.first_set(FOUNDATION_PATIENCE_MS)
+        core = gathering.first_set(FOUNDATION_MAX_WAIT_MS)
         assert core is not None
         self.assertEqual(2, len(core.members))
         self.assertEqual(NEEDED, core.founded_size)
@@ -48,7 +48,7 @@
         gathering = Gathering(0, NEEDED, strict=True)
         gathering.note(1, member(1))
         gathering.note(2, member(2))
-        self.assertIsNone(gathering.first_set(10 * FOUNDATION_PATIENCE_MS))
+        self.assertIsNone(gathering.first_set(10 * FOUNDATION_MAX_WAIT_MS))
 
     def test_a_member_whose_disk_was_lost_is_left_out(self) -> None:
         gathering = Gathering(0, NEEDED, strict=True)
