--- a/flintfield/coordination/contacts.py
+++ b/flintfield/coordination/contacts.py
@@ -1,4 +1,4 @@
-"""What processes say to find the core and to keep up with it: records 230 to 249."""
+"""Messages for discovering the core set and following its state: records 230 to 249."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
-    """A leader, and how long ago it was heard of."""
+    """A leader, and the time since it was last known to be alive."""
 
     epoch: int
     name: str
@@ -21,8 +21,11 @@
 @record(230)
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Tell what is newer than this; wait up to `hold_ms` for it. `address` is the asker's RPC address.
-    `ballots_only`: leave values out; a replica of the release before tells them all the same."""
+    """Long poll for state newer than the state given here; the replica waits up to `hold_ms` for it.
+
+    `address` is the requester's RPC address. With `ballots_only` the answer omits values; a replica of the
+    previous release ignores the flag and sends them.
+    """
 
     core: int
     epoch: int
@@ -35,12 +38,13 @@
 @record(231)
 @dataclass(frozen=True, slots=True)
 class PollAnswer:
-    """What the replica knew when it answered, `held_ms` after the poll came in.
+    """The replica's state at the time of its answer, `held_ms` after it received the poll.
 
-    `active` is the version of the set it is active in and unsealed (0: none); only then `accepted` counts,
-    and `value` is told where `accepted` is not the asker's. `committed` is the highest ballot that is known
-    to be committed, with `committed_value` where it is newer than the asker's. Both values are left out where
-    the asker wants ballots only. `core` is told where the asker's is older.
+    `active` is the version of the core set in which the replica is active and unsealed (0: none). `accepted`
+    is valid only if `active` is not 0; `value` is set if `accepted` differs from the requester's. `committed`
+    is the highest ballot known to be committed; `committed_value` is set if that ballot is newer than the
+    requester's. Both values are omitted if the poll asks for ballots only. `core` is set if the requester's
+    core set is older.
     """
 
     replica: int
@@ -57,7 +61,7 @@
 @record(232)
 @dataclass(frozen=True, slots=True)
 class WhereIsLeader:
-    """Asked by agents of any scheduler."""
+    """Query for the current leader, which an agent may send to any scheduler."""
 
 
 @record(233)
@@ -73,7 +77,7 @@
 @record(234)
 @dataclass(frozen=True, slots=True)
 class SetDecided:
-    """One-way: this core set is agreed."""
+    """One-way notification that this core set is decided."""
 
     core: CoreSet
 
@@ -81,8 +85,11 @@
 @record(240)
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """A scheduler introduces itself. `identity` is 0 without a replica; `founding`: it takes part in the
-    foundation; `leaving`: its process is about to end and its place may be taken at once."""
+    """Announcement of a scheduler.
+
+    `identity` is 0 if the scheduler has no replica. `founding` is set if it takes part in the bootstrap of
+    the first core set, `leaving` if its process is about to end and may be replaced immediately.
+    """
 
     name: str
     address: str
@@ -96,9 +103,11 @@
 @record(241)
 @dataclass(frozen=True, slots=True)
 class AnnounceNoted:
-    """The newest set known here, if it is newer than the announcer's, and the leader's RPC address or "".
-    `founder`: this process gathers the members of the first set. `stay`: the announcer is leaving, and a
-    candidate is there that is to take its place first."""
+    """The newest core set known here, if newer than the announcer's, and the leader's RPC address or "".
+
+    `founder` is set if this process collects the members of the first core set. `stay` is set if the
+    announcer is leaving but must wait, because a candidate is available that has yet to replace it.
+    """
 
     core: CoreSet | None
     leader: str
@@ -109,8 +118,11 @@
 @record(242)
 @dataclass(frozen=True, slots=True)
 class Found:
-    """Adopt this first core set under this ballot, unless a higher one was promised; doubled and late ones
-    are harmless. A sender of the release before names no ballot, which ranks below all others."""
+    """Request to adopt this first core set under this ballot, unless a higher ballot was promised.
+
+    Duplicate and late requests are harmless. A sender of the previous release sends no ballot; the default
+    ranks below all others.
+    """
 
     core: CoreSet
     ballot: Ballot = NO_BALLOT
@@ -119,10 +131,12 @@
 @record(243)
 @dataclass(frozen=True, slots=True)
 class FoundAnswer:
-    """The replica that was asked, and the first set that it has adopted last, durably (None: none, or it
-    can't
-    take part), under which ballot, and the highest ballot that it has promised. Where `core` is told, the
-    foundation is over."""
+    """The bootstrap state of a replica.
+
+    `adopted` is the first core set that it adopted last, durably (None: it has adopted none, or it can't take
+    part), `accepted` is the ballot of that set, and `promised` is the highest ballot that it has promised. If
+    `core` is set, the bootstrap is complete.
+    """
 
     replica: int
     adopted: CoreSet | None
@@ -134,7 +148,7 @@
 @record(246)
 @dataclass(frozen=True, slots=True)
 class AskFounding:
-    """Promise to adopt no first set under a lower ballot, and tell what you have adopted."""
+    """Request for the first core set adopted so far, and for a promise to adopt none under a lower ballot."""
 
     ballot: Ballot
 
@@ -142,7 +156,7 @@
 @record(244)
 @dataclass(frozen=True, slots=True)
 class AskIdentity:
-    """Who is at this address?"""
+    """Query for the name and identity of the process at this address."""
 
 
 @record(245)
--- a/flintfield/coordination/messages.py
+++ b/flintfield/coordination/messages.py
@@ -1,6 +1,6 @@
-"""What replicas and leaders say to one another: records 200 and 210 to 229. Registers: `register_messages`.
+"""Messages between replicas and leaders: records 200 and 210 to 229. Registers: see `register_messages`.
 
-Every request names the version of the core set under which it is made (`core`), every answer the replica's
+Requests that depend on the core set carry its version (`core`); answers of replicas carry the replica's
 identity.
 """
 
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from flintfield.coordination.contacts import LeaderAnswer as LeaderAnswer  # the console's part of them
+from flintfield.coordination.contacts import LeaderAnswer as LeaderAnswer  # re-exported for the console
 from flintfield.coordination.contacts import KnownLeader as KnownLeader
 from flintfield.coordination.contacts import WhereIsLeader as WhereIsLeader
 from flintfield.coordination.model import (
@@ -28,8 +28,11 @@
 @record(200)
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The answer of a replica that did nothing. `core` is a decided set newer than the asker's, if one is
-    known; `ballot` and `epoch` are the highest promised, `position` where its ordered store stands."""
+    """The answer of a replica that refused a request and changed nothing.
+
+    `core` is a decided core set newer than the requester's, if one is known. `ballot` and `epoch` are the
+    highest promised, and `position` is the position of the replica's ordered store.
+    """
 
     kind: Refusal
     replica: int
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Changes that take effect together, at one number of an epoch's sequence."""
+    """Changes that are applied atomically, at one sequence number of an epoch."""
 
     sequence: int
     changes: tuple[Change, ...]
@@ -61,9 +64,10 @@
 @record(210)
 @dataclass(frozen=True, slots=True)
 class PrepareEpoch:
-    """Promise to obey nobody of a lower epoch. `boot` tells the candidate's lives apart.
+    """Request for a promise to accept nothing from a lower epoch.
 
-    A `probe` only asks whether the promise would be given, and changes nothing.
+    `boot` distinguishes restarts of the candidate. With `probe`, the request only asks whether the replica
+    would promise, and changes nothing.
     """
 
     core: int
@@ -76,8 +80,8 @@
 @record(211)
 @dataclass(frozen=True, slots=True)
 class EpochPromised:
-    """The promise for `epoch` (or the probe's yes), the highest epoch promised, and where the store
-    stands."""
+    """The promise for `epoch` (or a positive answer to a probe), the highest promised epoch, and the position
+    of the store."""
 
     replica: int
     epoch: int
@@ -89,7 +93,7 @@
 @record(212)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The leader of `epoch` lives. Needs no disk."""
+    """Periodic message that the leader of `epoch` is alive; handling it needs no disk access."""
 
     core: int
     epoch: int
@@ -100,7 +104,7 @@
 @record(213)
 @dataclass(frozen=True, slots=True)
 class Alive:
-    """The answer to a heartbeat: the replica's wall clock, and where its store stands, durable or not."""
+    """The answer to a heartbeat: the replica's wall clock and the position of its store, durable or not."""
 
     replica: int
     epoch: int
@@ -111,7 +115,7 @@
 @record(214)
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """Take the store as it is at `base` for the start (sequence 0) of `epoch`."""
+    """Request to use the store as of position `base` as the start (sequence 0) of `epoch`."""
 
     core: int
     epoch: int
@@ -123,7 +127,7 @@
 @record(215)
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Take these batches, which follow `after` in the sequence of `epoch`."""
+    """Request to append these batches, which follow `after` in the sequence of `epoch`."""
 
     core: int
     epoch: int
@@ -134,8 +138,10 @@
 @record(216)
 @dataclass(frozen=True, slots=True)
 class Install:
-    """A part of the whole store as of `sequence` of `epoch`; the parts of one `transfer` come in order of
-    `index`."""
+    """One part of a full copy of the store as of `sequence` of `epoch`.
+
+    The parts of one `transfer` are sent in the order of `index`.
+    """
 
     core: int
     epoch: int
@@ -151,8 +157,10 @@
 @record(217)
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The store is durable up to `position`. After a part of an installation that was not the last,
-    `position` is the old one and `index` the part's."""
+    """The store is durable up to `position`.
+
+    After a part of an installation that is not the last, `position` is unchanged and `index` is the part's.
+    """
 
     replica: int
     epoch: int
@@ -164,8 +172,7 @@
 @record(218)
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The leader of `epoch` has stopped acting; `successor` may campaign at once, the others a little
-    later."""
+    """The leader of `epoch` has stepped down; `successor` may campaign immediately, others slightly later."""
 
     core: int
     epoch: int
@@ -175,18 +182,18 @@
 @record(219)
 @dataclass(frozen=True, slots=True)
 class Resigned:
-    """The resignation is noted."""
+    """Acknowledgement of a resignation."""
 
     replica: int
 
 
-# Whole states: for a new member, and for a candidate whose own store is behind.
+# Full state transfer: for a new member, and for a candidate whose store is behind.
 
 
 @record(220)
 @dataclass(frozen=True, slots=True)
 class AskState:
-    """What does the replica hold? With `transfer` other than 0, a snapshot is kept to be fetched under that
+    """Query for the replica's state. If `transfer` is not 0, the replica keeps a snapshot under that
     number."""
 
     transfer: int
@@ -195,9 +202,12 @@
 @record(221)
 @dataclass(frozen=True, slots=True)
 class StateAnswer:
-    """`core` is the set that the replica is active in (None: none). `sealed`: it takes nothing more in it,
-    because it has accepted a successor or knows of a decided one, durably. The register's value comes with
-    it, the ordered store is fetched in parts."""
+    """The state of a replica.
+
+    `core` is the core set in which the replica is active (None: none). `sealed` is set if it accepts nothing
+    more in that set, because it has durably accepted a successor set or knows of a decided one. The answer
+    includes the register's value; the ordered store is fetched in parts.
+    """
 
     replica: int
     core: CoreSet | None
@@ -211,7 +221,7 @@
 @record(222)
 @dataclass(frozen=True, slots=True)
 class AskPart:
-    """The part `index` of a snapshot."""
+    """Request for the part `index` of a snapshot."""
 
     transfer: int
     index: int
@@ -220,7 +230,7 @@
 @record(223)
 @dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """A part of a snapshot; `found` is False where the snapshot is gone."""
+    """A part of a snapshot; `found` is False if the snapshot no longer exists."""
 
     found: bool
     last: bool
--- a/flintfield/coordination/node.py
+++ b/flintfield/coordination/node.py
@@ -1,4 +1,4 @@
-"""The public face of coordination for schedulers: one `CoreNode` per process."""
+"""The public interface of coordination for schedulers: one `CoreNode` per process."""
 
 from __future__ import annotations
 
@@ -46,18 +46,17 @@
 from flintfield.coordination.storage.interface import KeyedStore
 from flintfield.transport.rpc import Connection, Handlers, Pool
 
-SPARED_RETRY_S = 0.1
+SPARED_CHECK_INTERVAL_S = 0.1
 
 __all__ = ["CoreNode", "CoreSet", "Deposed", "LeaderListener", "LeaderView", "Leadership", "NoQuorum"]
 
 
 class CoreNode:
-    """A process of the system as coordination sees it: a replica, or a client that knows the core and the
-    leader.
+    """The coordination part of a process: a replica, or a client that follows the core set and its leader.
 
-    `store` is None, or `counts` False, for a client. `seeds` and `address` are RPC addresses "ip:port".
-    `first_start` is true once in the life of the whole system. Times are milliseconds of `steady_ms` and
-    `wall_ms`.
+    The process is a client if `store` is None or `counts` is False. `seeds` and `address` are RPC addresses
+    "ip:port". `first_start` is true only at the first start of the whole system. Times are milliseconds of
+    `steady_ms` and `wall_ms`.
     """
 
     def __init__(
@@ -106,7 +105,7 @@
         self._elections: Elections | None = None
         self._changes: CoreChanges | None = None
         if self._host is not None:
-            self._add_replica_parts(self._host, proposer, listener, rng, steady_ms, wall_ms)
+            self._create_replica_components(self._host, proposer, listener, rng, steady_ms, wall_ms)
         own = Member(name, address, zone, 0)
         self._announcer = Announcer(
             own,
@@ -123,7 +122,7 @@
         self._introducer = Introducer(address, self._knowledge, self._announcer.introduce, rng, steady_ms)
         self._tasks: list[asyncio.Task[Any]] = []
 
-    def _add_replica_parts(
+    def _create_replica_components(
         self,
         host: ReplicaHost,
         proposer: Proposer,
@@ -141,18 +140,18 @@
         )
         self._register.on_sealed = self._changes.push
         self._elections.on_sealed = self._changes.push
-        self._elections.prepare_leadership = self._wire
+        self._elections.prepare_leadership = self._connect_leadership_callbacks
 
-    def _wire(self, leadership: Leadership) -> None:
+    def _connect_leadership_callbacks(self, leadership: Leadership) -> None:
         assert self._changes is not None
         leadership.on_sealed = self._changes.push
         leadership.on_newer = self._knowledge.note_core
 
-    # What the process asks.
+    # Queries and changes by the process itself.
 
     @property
     def leader(self) -> LeaderView | None:
-        """The newest leader known, with the steady time at which it was last heard of."""
+        """The newest leader known, with the steady-clock time at which it was last known to be alive."""
         self._note_own_leadership()
         return self._knowledge.leader
 
@@ -163,40 +162,40 @@
 
     @property
     def value_counters(self) -> ValueCounters:
-        """How configurations were told to others and fetched from them."""
+        """Counters of configurations sent to other processes and fetched from them."""
         return self._values.counters
 
     def known(self) -> tuple[bytes | None, int] | None:
-        """The newest committed configuration known here, and the steady time as of which it is surely the
-        newest."""
+        """Return the newest committed configuration known here, and the steady-clock time as of which it is
+        confirmed to be the newest."""
         return self._newest.known()
 
     def on_change(self, callback: Callable[[bytes], None]) -> None:
-        """Have `callback(value)` called whenever a newer committed configuration becomes known here."""
+        """Register `callback(value)` for every newer committed configuration that becomes known here."""
         self._newest.callbacks.append(callback)
 
     async def read(self) -> bytes | None:
-        """The newest committed configuration (linearizable); raises `NoQuorum`."""
+        """Read the newest committed configuration (linearizable); raises `NoQuorum`."""
         return await self._watcher.read()
 
     async def change(self, decide: Callable[[bytes | None], bytes | None]) -> bytes | None:
-        """Change the configuration; returns the value that is committed in the end.
+        """Change the configuration and return the value that is finally committed.
 
-        `decide` gets the committed value and returns the new one, or None to leave it; it may be called
-        several times. Raises `NoQuorum`: the change may be in force, or come into force later. If a value is
-        returned, no earlier attempt of this call can come into force any more.
+        `decide` receives the committed value and returns the new one, or None to keep it; it may be called
+        several times. Raises `NoQuorum` if the outcome is unknown: the change may have taken effect, or may
+        still take effect later. Once a value is returned, no earlier attempt of this call can take effect.
         """
         return await self._register.change(decide)
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """The settings name other seeds now."""
+        """Replace the seeds after a change of the settings."""
         self._knowledge.seeds = tuple(seeds)
         self._introducer.seeds_changed()
 
-    # Its life.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Start the work in the background; returns at once, also where the disk is slow."""
+        """Start the background tasks; returns immediately, even if the disk is slow."""
         loop = asyncio.get_running_loop()
         self._tasks.append(loop.create_task(self._watcher.run()))
         self._tasks.append(loop.create_task(self._announcer.run()))
@@ -210,38 +209,41 @@
         await asyncio.gather(self._elections.run(), self._changes.run())
 
     async def resign(self) -> None:
-        """Hand leadership over at once, and stand for no more elections. The replica stays.
+        """Hand over leadership immediately and take part in no further elections. The replica keeps running.
 
-        From now on the process says that it leaves, so that a waiting candidate takes its place at once.
+        From now on the process announces that it is leaving, so that a waiting candidate can replace it
+        immediately.
         """
         self._announcer.leave()
         if self._elections is not None:
             await self._elections.resign()
 
     async def spared(self, timeout_s: float) -> bool:
-        """Wait until the core goes on without this replica, and a candidate that is there has taken its
-        place; False where time ran out."""
+        """Wait until the core can continue without this replica and an available candidate has replaced it.
+
+        Returns False on timeout.
+        """
         if self._changes is None:
             return True
         try:
             async with asyncio.timeout(timeout_s):
                 while self._announcer.place_is_wanted or not await self._changes.can_be_spared():
-                    await asyncio.sleep(SPARED_RETRY_S)
+                    await asyncio.sleep(SPARED_CHECK_INTERVAL_S)
         except TimeoutError:
             return False
         return True
 
     async def stop(self) -> None:
-        """Stop all work; calls that are under way are cancelled."""
+        """Stop all background tasks and cancel the calls in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._peers.stop()
 
-    # What others ask.
+    # Requests from other processes.
 
     def handlers(self) -> Handlers:
-        """The handlers for the process's RPC server."""
+        """Return the handlers for the process's RPC server."""
         handlers: dict[type, Callable[[Any, Connection], Any]] = {
             kind: self._replica_request for kind in HANDLED
         }
--- a/flintfield/coordination/reconfiguration.py
+++ b/flintfield/coordination/reconfiguration.py
@@ -1,10 +1,11 @@
-"""Which core set is to follow the present one. A pure policy of the leader; any outcome of it is safe.
+"""The leader's policy for choosing the next core set. It has no side effects, and any result is safe.
 
-A candidate is a replica that is no member and has announced itself within the last moments. One with the name
-or the address of a member takes that member's place at once, because it proves that the member's disk (or
-machine) is gone. One with a new name takes the place of a member that is leaving, else of the one that has
-been silent for longest, if that is long enough, and is added where the set is smaller than it was founded.
-Members are never dropped without a candidate: a smaller set would bear no more losses.
+A candidate is a replica that is not a member and has announced itself recently. A candidate with the name or
+the address of a member replaces that member immediately, because it proves that the member's disk (or
+machine) is lost. A candidate with a new name is added if the set is smaller than at its bootstrap; otherwise
+it replaces a member that is leaving or, if there is none, the member that has been unreachable longest,
+provided that it has been unreachable for at least `UNREACHABLE_MS`. Members are never removed without a
+replacement, because a smaller set would tolerate no further losses.
 """
 
 from __future__ import annotations
@@ -22,19 +23,21 @@
     leader: int,
     leaving: Collection[int] = (),
 ) -> CoreSet | None:
-    """The next set, or None where the present one stays. `silent_ms(identity)` tells for how long a member
-    has been out of the leader's reach; `leader` is the leader's own identity, which keeps its place;
-    `leaving` are identities of members that are about to end."""
+    """Return the next core set, or None if the current one stays.
+
+    `silent_ms(identity)` returns the time since the leader last reached a member. `leader` is the identity of
+    the leader, which is never replaced. `leaving` holds the identities of members that are about to end.
+    """
     members = list(core.members)
     for candidate in sorted(candidates, key=lambda member: (member.name, member.identity)):
-        members = _with(candidate, members, core, silent_ms, leader, leaving)
+        members = _add_candidate(candidate, members, core, silent_ms, leader, leaving)
     chosen = ordered(members)
     if chosen == core.members:
         return None
     return CoreSet(core.version + 1, chosen, core.founded_size, core.members)
 
 
-def _with(
+def _add_candidate(
     candidate: Member,
     members: list[Member],
     core: CoreSet,
@@ -44,7 +47,7 @@
 ) -> list[Member]:
     if candidate in members or candidate.identity in leaving:
         return members
-    before = {member.identity for member in core.members}
+    current_identities = {member.identity for member in core.members}
     replaced = [
         member
         for member in members
@@ -53,12 +56,16 @@
         or member.address == candidate.address
     ]
     if any(member.identity == leader for member in replaced):
-        return members  # a stranger under this process's own name or address is a fault of its settings
+        return members  # a candidate with the name or address of the leader is misconfigured
     if not replaced and len(members) >= core.founded_size:
-        others = [member for member in members if member.identity in before and member.identity != leader]
-        ending = [member for member in others if member.identity in leaving]
-        silent = [member for member in others if silent_ms(member.identity) >= UNREACHABLE_MS]
-        if not ending and not silent:
+        replaceable = [
+            member
+            for member in members
+            if member.identity in current_identities and member.identity != leader
+        ]
+        leaving_members = [member for member in replaceable if member.identity in leaving]
+        silent_members = [member for member in replaceable if silent_ms(member.identity) >= UNREACHABLE_MS]
+        if not leaving_members and not silent_members:
             return members
-        replaced = ending[:1] or [max(silent, key=lambda member: silent_ms(member.identity))]
+        replaced = leaving_members[:1] or [max(silent_members, key=lambda member: silent_ms(member.identity))]
     return [*(member for member in members if member not in replaced), candidate]
--- a/flintfield/coordination/search.py
+++ b/flintfield/coordination/search.py
@@ -1,20 +1,21 @@
-"""How long a search for the core or its leader has gone on, and what came of its questions, for the log.
+"""Duration and query statistics of a search for the core set or its leader, for log warnings.
 
-The counts tell three troubles apart: nobody answers (`answered` 0: the link), those who answer don't know
-the core (`knew_core` 0: whoever is asked has lost it, or never had it), the core is known and has no leader.
+The counts distinguish three faults: no process answers (`answered` is 0: the network link is at fault), the
+processes that answer don't know the core set (`knew_core` is 0: they have lost it or never had it), or the
+core set is known but has no leader.
 """
 
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
 
-FIRST_WARNING_MS = 3_000  # a takeover and a restart of everything are over by then
-WARNING_PAUSE_MS = 5_000
+FIRST_WARNING_MS = 3_000  # a failover or a restart of the whole system completes sooner
+WARNING_INTERVAL_MS = 5_000
 
 
 @dataclass(slots=True)
 class SearchCounts:
-    """What was asked since the last warning, and what came of it."""
+    """Counts of queries and answers since the last warning."""
 
     asked: int = 0
     answered: int = 0
@@ -22,7 +23,7 @@
 
 
 class SearchWatch:
-    """Counts the questions of a search, and says when it has gone on for long enough to warn of it."""
+    """Counts the queries of a search and decides when its duration warrants a warning."""
 
     def __init__(self) -> None:
         self._since_ms: int | None = None
@@ -30,25 +31,26 @@
         self._counts = SearchCounts()
 
     def asked(self, now_ms: int) -> None:
-        """Somebody was asked; the first question begins the search."""
+        """Count a query; the first query starts the search."""
         if self._since_ms is None:
             self._since_ms = now_ms
-            self._warned_ms = now_ms - WARNING_PAUSE_MS + FIRST_WARNING_MS
+            self._warned_ms = now_ms - WARNING_INTERVAL_MS + FIRST_WARNING_MS
         self._counts.asked += 1
 
     def answered(self, knows_core: bool) -> None:
-        """Somebody has answered."""
+        """Count an answer."""
         self._counts.answered += 1
         self._counts.knew_core += knows_core
 
     def found(self) -> None:
-        """The search is over."""
+        """End the search and reset the counts."""
         self._since_ms = None
         self._counts = SearchCounts()
 
     def warning(self, now_ms: int) -> dict[str, int] | None:
-        """The fields of a warning, where one is due: `searching_ms` and the counts since the last one."""
-        if self._since_ms is None or now_ms - self._warned_ms < WARNING_PAUSE_MS:
+        """Return the log fields of a warning if one is due: `searching_ms` and the counts since the last
+        warning."""
+        if self._since_ms is None or now_ms - self._warned_ms < WARNING_INTERVAL_MS:
             return None
         self._warned_ms = now_ms
         counts, self._counts = self._counts, SearchCounts()
--- a/flintfield/coordination/snapshots.py
+++ b/flintfield/coordination/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the ordered store that others fetch in parts."""
+"""Snapshots of the ordered store, which other replicas fetch in parts."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from flintfield.coordination.stored import ITEM_PREFIX
 from flintfield.coordination.timing import CHUNK_BYTES, STAGED_TRANSFER_MS
 
-SNAPSHOTS_KEPT = 4  # the oldest goes first; its fetcher asks anew
+MAX_SNAPSHOTS = 4  # the oldest is evicted first; its fetcher requests a new one
 ENTRY_OVERHEAD_BYTES = 16
 
 
 def parts_of(changes: Iterable[Change], part_bytes: int = CHUNK_BYTES) -> list[tuple[Change, ...]]:
-    """Cut changes into parts of about that size; at least one, which may be empty."""
+    """Split changes into parts of about `part_bytes`; returns at least one part, which may be empty."""
     parts: list[tuple[Change, ...]] = []
     part: list[Change] = []
     size = 0
@@ -29,26 +29,28 @@
 
 
 class Snapshots:
-    """The snapshots that are being fetched. They share their bytes with the store."""
+    """The snapshots that are being fetched. They share the value bytes with the store instead of copying."""
 
     def __init__(self, stored: Mapping[bytes, bytes]) -> None:
         self._stored = stored
         self._parts: dict[int, tuple[int, list[tuple[Change, ...]]]] = {}
 
     def take(self, now_ms: int, transfer: int) -> None:
-        """Keep the items as they are now under this number."""
+        """Take a snapshot of the current items under the number of a transfer, unless there is one."""
         if transfer in self._parts:
             return
-        while len(self._parts) >= SNAPSHOTS_KEPT:
+        while len(self._parts) >= MAX_SNAPSHOTS:
             del self._parts[next(iter(self._parts))]
-        cut = len(ITEM_PREFIX)
+        prefix_length = len(ITEM_PREFIX)
         items = (
-            Change(key[cut:], value) for key, value in self._stored.items() if key.startswith(ITEM_PREFIX)
+            Change(key[prefix_length:], value)
+            for key, value in self._stored.items()
+            if key.startswith(ITEM_PREFIX)
         )
         self._parts[transfer] = (now_ms, parts_of(items))
 
     def part(self, now_ms: int, request: AskPart) -> PartAnswer:
-        """One part of a snapshot."""
+        """Return the requested part of a snapshot and renew the snapshot's expiry."""
         _, parts = self._parts.get(request.transfer, (0, []))
         if not 0 <= request.index < len(parts):
             return PartAnswer(False, True, ())
@@ -56,8 +58,8 @@
         return PartAnswer(True, request.index == len(parts) - 1, parts[request.index])
 
     def expire(self, now_ms: int) -> None:
-        """Drop the snapshots that nobody has fetched from for a while."""
-        oldest_ms = now_ms - STAGED_TRANSFER_MS
-        stale = [number for number, (used_ms, _) in self._parts.items() if used_ms < oldest_ms]
-        for number in stale:
-            del self._parts[number]
+        """Drop snapshots from which no part was fetched for `STAGED_TRANSFER_MS`."""
+        expiry_ms = now_ms - STAGED_TRANSFER_MS
+        stale = [transfer for transfer, (used_ms, _) in self._parts.items() if used_ms < expiry_ms]
+        for transfer in stale:
+            del self._parts[transfer]
--- a/flintfield/coordination/stored.py
+++ b/flintfield/coordination/stored.py
@@ -1,4 +1,4 @@
-"""What a replica keeps in its store: records 281 to 299, and the keys under which they stand."""
+"""Records that a replica persists in its store (281 to 299), and their keys."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 @record(281)
 @dataclass(frozen=True, slots=True)
 class StoredIdentity:
-    """Drawn when the store was formatted. `founding`: it was formatted at the very first start of the
-    system."""
+    """The replica's random identity, chosen when the store is formatted.
+
+    `founding` is set if the store was formatted at the first start of the whole system.
+    """
 
     identity: int
     founding: bool
@@ -32,7 +34,7 @@
 @record(282)
 @dataclass(frozen=True, slots=True)
 class StoredAcceptor:
-    """One register's acceptor."""
+    """The acceptor state of one register."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -42,8 +44,12 @@
 @record(283)
 @dataclass(frozen=True, slots=True)
 class StoredOrder:
-    """The ordered store's follower: highest epoch promised and to whom; where the items stand; the identity
-    of the leader whose lease this replica may have acknowledged last (0: unknown)."""
+    """The follower state of the ordered store.
+
+    `promised` is the highest promised epoch, and `candidate` and `boot` identify the candidate that received
+    the promise. `position` is the position of the items. `holder` is the identity of the leader whose lease
+    this replica may have acknowledged last (0: unknown).
+    """
 
     promised: int = 0
     candidate: int = 0
@@ -55,7 +61,7 @@
 @record(284)
 @dataclass(frozen=True, slots=True)
 class StoredFounding:
-    """The acceptor of the first core set. The release before stored the adopted `CoreSet` alone."""
+    """The acceptor state for the first core set. The previous release stored only the adopted `CoreSet`."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -63,19 +69,19 @@
 
 
 def format_store(identity: int, founding: bool) -> list[tuple[bytes, bytes]]:
-    """The first records of a store that was found empty; they must be durable before the replica is made."""
+    """Return the first records of an empty store; they must be durable before the replica is created."""
     return [(IDENTITY_KEY, encode(StoredIdentity(identity, founding)))]
 
 
 def load(stored: Mapping[bytes, bytes], key: bytes) -> Any:
-    """The record under this key, or None."""
+    """Return the decoded record under this key, or None."""
     raw = stored.get(key)
     return None if raw is None else decode(raw)
 
 
 def load_founding(stored: Mapping[bytes, bytes]) -> StoredFounding:
-    """The acceptor of the first core set, also as the release before stored it."""
-    found: StoredFounding | CoreSet | None = load(stored, FOUNDING_KEY)
-    if isinstance(found, CoreSet):
-        return StoredFounding(adopted=found)
-    return found if found is not None else StoredFounding()
+    """Return the acceptor state for the first core set; also reads the format of the previous release."""
+    loaded: StoredFounding | CoreSet | None = load(stored, FOUNDING_KEY)
+    if isinstance(loaded, CoreSet):
+        return StoredFounding(adopted=loaded)
+    return loaded if loaded is not None else StoredFounding()
--- a/flintfield/coordination/transfer.py
+++ b/flintfield/coordination/transfer.py
@@ -1,15 +1,15 @@
-"""How a member of a new core set finds the state with which it may become active. No I/O.
+"""Selection of the state from which a member of a new core set may become active. No I/O.
 
-A state is sufficient if it contains everything committed in the set before. Two sources are:
+A state is sufficient if it contains everything committed in the previous set. It has two possible sources:
 
-1. a majority of the replicas of the set before, all *sealed*: whatever was committed there has a majority
-   that overlaps with them, and a sealed replica takes nothing more; the highest position and the highest
-   ballot among them count;
-2. any single replica that is active in the new set already (or in a newer one, which makes the question
-   moot).
+1. a majority of the replicas of the previous set, all *sealed*: any majority that committed a value there
+   overlaps with this one, and a sealed replica accepts nothing more; the highest position and the highest
+   ballot among them are used;
+2. any single replica that is already active in the new set (or in a newer one, which makes the transfer
+   unnecessary).
 
-The promise of epochs is the highest of all that were asked, because epochs never repeat across sets. Promises
-of ballots need not be carried over: the version of the set is the first part of a ballot.
+The promised epoch is the highest among the answers used, because epochs never repeat across sets. Promised
+ballots need not be carried over, because the version of the set is the first component of a ballot.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeState:
-    """What a replica starts with in a set. `items` is None where its own are the ones."""
+    """The state with which a replica starts in a core set. `items` is None if it keeps its own items."""
 
     promised: int
     position: Position
@@ -33,41 +33,41 @@
 
 
 EMPTY = WholeState(0, NOWHERE, NO_BALLOT, None, None)
-"""The state with which every member of the first set begins."""
+"""The initial state of every member of the first core set."""
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """From which replica the ordered store is fetched, and the rest of the state."""
+    """The replica from which the ordered store is fetched, and the rest of the state."""
 
     source: int
     state: WholeState
 
 
-def choose(target: CoreSet, told: Mapping[int, StateAnswer]) -> Choice | None:
-    """The sufficient state among these answers, by identity; None while they don't suffice."""
+def choose(target: CoreSet, answers_by_identity: Mapping[int, StateAnswer]) -> Choice | None:
+    """Choose a sufficient state from the answers, keyed by identity; None if they don't suffice yet."""
     active = [
         answer
-        for answer in told.values()
+        for answer in answers_by_identity.values()
         if answer.core is not None and answer.core.version == target.version
     ]
     if active:
-        return _best(active[:1])
-    before = {member.identity for member in target.previous}
+        return _most_recent(active[:1])
+    previous_identities = {member.identity for member in target.previous}
     sealed = [
         answer
-        for identity, answer in told.items()
-        if identity in before
+        for identity, answer in answers_by_identity.items()
+        if identity in previous_identities
         and answer.core is not None
         and answer.sealed
         and answer.core.version == target.version - 1
     ]
-    if not before or len(sealed) <= len(before) // 2:
+    if not previous_identities or len(sealed) <= len(previous_identities) // 2:
         return None
-    return _best(sealed)
+    return _most_recent(sealed)
 
 
-def _best(answers: list[StateAnswer]) -> Choice:
+def _most_recent(answers: list[StateAnswer]) -> Choice:
     store = max(answers, key=lambda answer: answer.position)
     register = max(answers, key=lambda answer: answer.accepted)
     promised = max(answer.promised for answer in answers)
--- a/tests/system/coordination_loop.py
+++ b/tests/system/coordination_loop.py
@@ -1,8 +1,8 @@
 """An event loop in virtual time, one for each simulated process.
 
-It has no sockets, threads or signals: just callbacks, timers, futures and tasks. The world decides when it
-runs, so a process can be frozen (its loop isn't run for a while) or killed (its loop is never run again, and
-nothing of it gets a chance to clean up).
+It has no sockets, threads or signals, only callbacks, timers, futures and tasks. `World` decides when a loop
+runs, so it can freeze a process (its loop isn't run for a while) or kill it (its loop is never run again, and
+no cleanup code runs).
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-MOST_CALLBACKS = 200_000  # in one instant: more is an endless loop
-ROUNDING_S = 1e-6  # times are whole milliseconds, told as floats
+MAX_CALLBACKS = 200_000  # per call of `run_due`; more indicates an endless loop
+ROUNDING_S = 1e-6  # tolerance for times that are whole milliseconds expressed as floats
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """A loop whose clock is `now_s`."""
+    """An event loop that takes its time from `now_s`."""
 
     def __init__(self, now_s: Callable[[], float]) -> None:
         self._now_s = now_s
         self._ready: deque[asyncio.Handle] = deque()
         self._timers: list[tuple[float, int, asyncio.TimerHandle]] = []
-        self._count = 0
+        self._timer_count = 0
         self.failures: list[dict[str, Any]] = []
         self.dead = False
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._now_s()
 
     def call_soon(  # type: ignore[override]
@@ -40,7 +40,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Run it at the next turn."""
+        """Schedule the callback for the next iteration."""
         handle = asyncio.Handle(callback, args, self, context)
         self._ready.append(handle)
         return handle
@@ -52,7 +52,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run it after a time."""
+        """Schedule the callback after `delay` seconds."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
@@ -62,42 +62,42 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run it at a time."""
+        """Schedule the callback at the virtual time `when`."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        self._count += 1
-        heapq.heappush(self._timers, (when, self._count, handle))
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         return
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Coroutine[Any, Any, Any], **_: Any) -> asyncio.Task[Any]:  # type: ignore[override]
-        """A task of this loop."""
+        """Create a task of this loop."""
         return asyncio.Task(coro, loop=self)
 
     def get_debug(self) -> bool:
-        """Never."""
+        """Return False: debug mode is not supported."""
         return False
 
     def is_running(self) -> bool:
-        """Whether its callbacks are being run."""
+        """Return whether this loop is running callbacks now."""
         return events._get_running_loop() is self
 
     def is_closed(self) -> bool:
-        """Whether the process is dead."""
+        """Return False: the loop is never closed, not even when its process is killed."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what went wrong in a living process."""
+        """Record an unhandled error, unless the process was killed."""
         if not self.dead:
             self.failures.append(context)
 
     def next_s(self) -> float | None:
-        """When it has something to run."""
+        """Return the virtual time of the next callback, or None if there is none."""
         while self._timers and self._timers[0][2].cancelled():
             heapq.heappop(self._timers)
         if self._ready:
@@ -105,7 +105,7 @@
         return self._timers[0][0] if self._timers else None
 
     def run_due(self) -> None:
-        """Run all that is due."""
+        """Run all callbacks that are due, including those that they schedule for the same time."""
         now_s = self.time()
         while self._timers and self._timers[0][0] <= now_s + ROUNDING_S:
             timer = heapq.heappop(self._timers)[2]
@@ -113,12 +113,12 @@
                 self._ready.append(timer)
         events._set_running_loop(self)
         try:
-            for _ in range(MOST_CALLBACKS):
+            for _ in range(MAX_CALLBACKS):
                 if not self._ready or self.dead:
                     return
                 handle = self._ready.popleft()
                 if not handle.cancelled():
                     handle._run()
-            raise RuntimeError("a loop does not come to rest")
+            raise RuntimeError("the event loop exceeded the callback limit at one virtual time")
         finally:
             events._set_running_loop(None)
--- a/tests/system/coordination_repair.py
+++ b/tests/system/coordination_repair.py
@@ -1,10 +1,10 @@
-"""How long it takes from the loss of a replica until the core bears the next one, in virtual time.
+"""Time from the loss of a replica until the core tolerates further losses, in virtual time.
 
     python -m tests.system.coordination_repair --worlds 1000 --jobs 8
 
-The core bears the next losses when a leader's lease holds and so many members of the newest set are alive,
-active and at the leader's position that a majority is left after the promised number of losses. Times are ms
-from the loss, those of machines that are started again or anew included: `RESTART_MS` and `NEWCOMER_MS`.
+The core tolerates further losses when a leader holds its lease and enough members of the newest core set are
+alive, active and at the leader's position that a majority remains after the promised number of losses. Times
+are in milliseconds from the loss and include the start of machines: `RESTART_MS` and `NEWCOMER_MS`.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from .coordination_disk import Platter
 from .coordination_world import RESTART_MS, Machine, World
 
-NEWCOMER_MS = 1_000  # from a loss for good until an empty machine starts at another address
+NEWCOMER_MS = 1_000  # from a permanent loss until an empty machine starts at another address
 GRACE_MS = 4_500  # from SIGTERM until the process ends
-DISK_TROUBLE_MS = 2_000
-SLOW_SYNC_MS = (120, 270)  # 30 times as long as usual
-LONGEST_MS = 20_000
-SETTLING_MS = 1_000
+DISK_FAULT_MS = 2_000
+SLOW_SYNC_MS = (120, 270)  # 30 times the usual duration
+REPAIR_TIMEOUT_MS = 20_000
+WRITE_PHASE_MS = 1_000
 WRITES = 40
-NOT_WHOLE = -1
-"""In place of a time: the core was not whole again within `LONGEST_MS`."""
+NOT_REPAIRED = -1
+"""Result if the core didn't tolerate further losses within `REPAIR_TIMEOUT_MS`."""
 
 
 class Repair(enum.Enum):
-    """What is lost, and how it comes back."""
+    """The kind of loss, and how the replica is restored or replaced."""
 
     RESTARTED = "restarted"
     WIPED = "wiped"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A core and what it promises."""
+    """A core size and the number of losses that it must tolerate."""
 
     replicas: int
     losses: int
@@ -57,8 +57,8 @@
 SIZES = (Size(3, 1), Size(4, 1), Size(5, 2), Size(8, 2))
 
 
-def bears_losses(world: World, losses: int) -> bool:
-    """Whether a majority of the newest set is left after this many losses."""
+def tolerates_losses(world: World, losses: int) -> bool:
+    """Return whether a majority of the newest core set remains after this many losses."""
     leader = world.leader()
     core = max(
         (process.node.core for process in world.processes() if process.node.core is not None),
@@ -70,33 +70,35 @@
     state = leader.leadership.leader
     if state.core.version != core.version:
         return False
-    whole = 0
+    up_to_date = 0
     for process in world.processes():
         host = process.node._host
         replica = host.replica if host is not None else None
         if replica is None or replica.serving is None or replica.serving.version != core.version:
             continue
         progress = state.followers.get(replica.identity)
-        whole += progress is not None and progress.acked >= state.committed
-    return whole >= core.majority + losses
+        up_to_date += progress is not None and progress.acked >= state.committed
+    return up_to_date >= core.majority + losses
 
 
 def repair_ms(repair: Repair, size: Size, seed: int) -> int:
-    """From the loss until the core bears the next ones, or `NOT_WHOLE`."""
+    """Return the time from the loss until the core tolerates further losses, or `NOT_REPAIRED`."""
     world = World(seed, size.replicas, tolerance=size.losses)
     world.start_all()
-    assert world.run_for(LONGEST_MS, partial(bears_losses, world, size.losses)), "not founded"
+    assert world.run_for(REPAIR_TIMEOUT_MS, partial(tolerates_losses, world, size.losses)), (
+        "the first core set did not become operational in time"
+    )
     for _ in range(WRITES):
         world.write()
-        world.run_for(SETTLING_MS // WRITES)
-    lost_ms = _strike(world, repair)
-    if not world.run_for(LONGEST_MS, partial(bears_losses, world, size.losses)):
-        return NOT_WHOLE
+        world.run_for(WRITE_PHASE_MS // WRITES)
+    lost_ms = _cause_loss(world, repair)
+    if not world.run_for(REPAIR_TIMEOUT_MS, partial(tolerates_losses, world, size.losses)):
+        return NOT_REPAIRED
     return world.now_ms - lost_ms
 
 
-def _strike(world: World, repair: Repair) -> int:
-    """Bring the loss about; returns when it began to count."""
+def _cause_loss(world: World, repair: Repair) -> int:
+    """Cause the loss and return the virtual time from which the repair time is measured."""
     leader = world.leader()
     assert leader is not None
     replicas = [machine for machine in world.machines if machine.counts]
@@ -112,52 +114,52 @@
             world.wipe(leader.machine)
         case Repair.NEW_NAME:
             _remove(world, victim)
-            world.after(NEWCOMER_MS, partial(_newcomer, world))
+            world.after(NEWCOMER_MS, partial(_start_newcomer, world))
         case Repair.PLANNED:
-            return _replace_as_planned(world, victim)
+            return _planned_replacement(world, victim)
         case Repair.RESTARTED_IN_TRANSFER:
             world.wipe(victim)
             world.run_for(RESTART_MS + world.rng.randint(20, 400))
             world.kill(victim)
         case _:
-            _trouble_a_disk(world, repair, victim, others)
+            _wipe_with_disk_fault(world, repair, victim, others)
     world.run_for(1)
     return lost_ms
 
 
-def _trouble_a_disk(world: World, repair: Repair, victim: Machine, others: list[Machine]) -> None:
-    """A disk is lost, and one disk has trouble from then on."""
+def _wipe_with_disk_fault(world: World, repair: Repair, victim: Machine, others: list[Machine]) -> None:
+    """Wipe the victim, and make the victim's new disk or another replica's disk faulty."""
     world.wipe(victim)
     other = world.rng.choice([machine for machine in others if machine is not victim])
     match repair:
         case Repair.STALLED_DISK:
-            other.platter.stalled_until_ms = world.now_ms + DISK_TROUBLE_MS
+            other.platter.stalled_until_ms = world.now_ms + DISK_FAULT_MS
         case Repair.SLOW_DISK:
             _slow_down(world, other.platter)
         case Repair.FULL_DISK:
-            _fill(world, other.platter)
+            _fail_syncs(world, other.platter)
         case Repair.OWN_DISK_SLOW:
             _slow_down(world, victim.platter)
         case Repair.OWN_DISK_FULL:
-            _fill(world, victim.platter)
+            _fail_syncs(world, victim.platter)
 
 
 def _slow_down(world: World, platter: Platter) -> None:
-    """Syncs take 30 times as long for a while."""
-    usual_ms = platter.sync_ms
+    """Make syncs take 30 times as long for `DISK_FAULT_MS`."""
+    normal_sync_ms = platter.sync_ms
     platter.sync_ms = SLOW_SYNC_MS
-    world.after(DISK_TROUBLE_MS, partial(setattr, platter, "sync_ms", usual_ms))
+    world.after(DISK_FAULT_MS, partial(setattr, platter, "sync_ms", normal_sync_ms))
 
 
-def _fill(world: World, platter: Platter) -> None:
-    """Nothing becomes durable for a while."""
+def _fail_syncs(world: World, platter: Platter) -> None:
+    """Let all syncs fail for `DISK_FAULT_MS`."""
     platter.failing = True
-    world.after(DISK_TROUBLE_MS, partial(setattr, platter, "failing", False))
+    world.after(DISK_FAULT_MS, partial(setattr, platter, "failing", False))
 
 
-def _replace_as_planned(world: World, victim: Machine) -> int:
-    """A newcomer stands beside it, SIGTERM comes, the process ends after its grace period."""
-    _newcomer(world)
+def _planned_replacement(world: World, victim: Machine) -> int:
+    """Start a newcomer, then resign the victim as on SIGTERM, and end it after its grace period."""
+    _start_newcomer(world)
     world.run_for(NEWCOMER_MS)
     process = victim.process
     assert process is not None
@@ -172,7 +174,7 @@
     machine.present = False
 
 
-def _newcomer(world: World) -> None:
+def _start_newcomer(world: World) -> None:
     machine = Machine(len(world.machines), True, False)
     machine.first_start = False
     world.machines.append(machine)
@@ -184,23 +186,23 @@
 
 
 def main() -> None:
-    """Print a line for each kind of repair and size."""
+    """Print one line for each kind of repair and each size."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--worlds", type=int, default=100, help="of each kind and size")
+    parser.add_argument("--worlds", type=int, default=100, help="simulations per kind and size")
     parser.add_argument("--jobs", type=int, default=1, help="processes")
-    parser.add_argument("--repair", type=Repair, choices=list(Repair), help="of this kind only")
-    given = parser.parse_args()
-    with multiprocessing.get_context("spawn").Pool(given.jobs) as pool:
-        for repair in [given.repair] if given.repair else Repair:
+    parser.add_argument("--repair", type=Repair, choices=list(Repair), help="run only this kind of repair")
+    options = parser.parse_args()
+    with multiprocessing.get_context("spawn").Pool(options.jobs) as pool:
+        for repair in [options.repair] if options.repair else Repair:
             for size in SIZES:
-                jobs = [(repair, size, seed) for seed in range(given.worlds)]
+                jobs = [(repair, size, seed) for seed in range(options.worlds)]
                 times = sorted(pool.imap_unordered(_measure, jobs, chunksize=4))
-                never = times.count(NOT_WHOLE)
-                whole = times[never:]
-                middle = statistics.median(whole) if whole else NOT_WHOLE
+                never = times.count(NOT_REPAIRED)
+                completed = times[never:]
+                median_ms = statistics.median(completed) if completed else NOT_REPAIRED
                 print(
                     f"{repair.value:45} {size.replicas} replicas, {size.losses} to lose: "
-                    f"median {middle:5.0f} ms, worst {times[-1]:5} ms, never {never}",
+                    f"median {median_ms:5.0f} ms, worst {times[-1]:5} ms, never {never}",
                     flush=True,
                 )
 
--- a/tests/system/coordination_world.py
+++ b/tests/system/coordination_world.py
@@ -1,9 +1,10 @@
-"""A world of processes with coordination nodes, in virtual time, and the judge of what they must keep.
+"""A simulation of processes with coordination nodes in virtual time, with a checker of their invariants.
 
-All randomness comes from one seed. `World.run_for(ms)` plays on; `kill`, `wipe`, `freeze`, `cut` and the
-weather are the faults. The judge checks at every event: one leader for each epoch, never two confirmed
-leases, no acknowledged write missing at an election, batches whole, the register linearizable, one core set
-for each version, no configuration confirmed as of a time without what was acknowledged before.
+All randomness comes from one seed. `World.run_for(ms)` advances the simulation; `kill`, `wipe`, `freeze`,
+`cut` and the network's `weather` inject faults. `Judge` checks the invariants at every event: one leader per
+epoch; never two confirmed leases; no acknowledged write missing at an election; batches are atomic; the
+register is linearizable; one core set per version; a configuration confirmed as of a time contains every
+change acknowledged before that time.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 
 
 class Violation(AssertionError):
-    """A property was broken."""
+    """An invariant was violated."""
 
 
 class Machine:
-    """An address with a disk (or none); processes come and go on it."""
+    """An address with an optional disk, on which processes are started and killed."""
 
     def __init__(self, number: int, counts: bool, diskless: bool) -> None:
         self.number = number
@@ -50,7 +51,7 @@
 
 
 class Process:
-    """One life of a process: a loop, a node, and the client work that runs in it."""
+    """One run of a process: its event loop, its node, and the client tasks that run in it."""
 
     def __init__(self, world: World, machine: Machine) -> None:
         self.world = world
@@ -62,7 +63,7 @@
         self.handlers: Any = None
         self.leadership: Leadership | None = None
         self.values: list[bytes] = []
-        self.confirmed_count = 0  # of the acknowledged changes, for the judge
+        self.confirmed_count = 0  # acknowledged changes already checked by the judge
         rng = random.Random(world.rng.getrandbits(64))
         store: Any = None
         if machine.counts:
@@ -99,56 +100,56 @@
         self.world.judge.saw_value(self, value)
 
     def elected(self, leadership: Leadership) -> None:
-        """The listener's part."""
+        """Record the new leadership (`LeaderListener`)."""
         self.leadership = leadership
         self.world.judge.elected(self, leadership)
 
     def deposed(self) -> None:
-        """The listener's part."""
+        """Record the end of the leadership (`LeaderListener`)."""
         self.leadership = None
 
     def runs(self) -> bool:
-        """Whether its loop may be run now."""
+        """Return whether the process is alive and not frozen."""
         return self.alive and self.world.now_ms >= self.frozen_until_ms
 
     def confirmed(self) -> bool:
-        """Whether it would act as the leader now."""
+        """Return whether the process holds a confirmed lease."""
         return self.alive and self.leadership is not None and self.leadership.confirmed()
 
 
 class Judge:
-    """Collects what was promised, and raises `Violation`."""
+    """Records what processes acknowledged, and raises `Violation` when an invariant is violated."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.epochs: dict[int, Process] = {}
-        self.sets: dict[int, CoreSet] = {}
+        self.leaders_by_epoch: dict[int, Process] = {}
+        self.core_sets: dict[int, CoreSet] = {}
         self.acked: dict[bytes, bytes] = {}
         self.elections: list[tuple[int, int, str]] = []
-        self.longest: tuple[str, ...] = ()  # the register's history, as far as it was read
-        self.required: set[str] = set()  # changes that were acknowledged
-        self.acknowledged_ms: list[int] = []  # when each of them was, in their order
+        self.longest_history: tuple[str, ...] = ()  # the longest history read from the register
+        self.required: set[str] = set()  # acknowledged changes
+        self.acknowledged_ms: list[int] = []  # times of the acknowledgements, in order
         self.acknowledged: list[str] = []
 
     def elected(self, process: Process, leadership: Leadership) -> None:
-        """A leader begins: its epoch is its own, and all that was acknowledged is there."""
+        """Check that a new leader's epoch is unique and that its items contain all acknowledged writes."""
         epoch = leadership.epoch
-        if self.epochs.setdefault(epoch, process) is not process:
+        if self.leaders_by_epoch.setdefault(epoch, process) is not process:
             raise Violation(f"two leaders in epoch {epoch}")
-        if epoch < max(self.epochs):
-            later = self.epochs[max(self.epochs)]
+        if epoch < max(self.leaders_by_epoch):
+            later = self.leaders_by_epoch[max(self.leaders_by_epoch)]
             if later.confirmed():
-                raise Violation(f"epoch {epoch} elected while {max(self.epochs)} holds its lease")
+                raise Violation(f"epoch {epoch} elected while {max(self.leaders_by_epoch)} holds its lease")
         self.elections.append((self.world.now_ms, epoch, process.machine.name))
         for key, value in self.acked.items():
             if int(leadership.items.get(key, b"-1")) < int(value):
                 raise Violation(f"epoch {epoch} lacks {key!r}={value!r}: {leadership.items.get(key)!r}")
         for key, value in leadership.items.items():
             if key.startswith(b"one/") and leadership.items.get(b"two/" + key[4:]) != value:
-                raise Violation(f"batch of {key!r} is torn")
+                raise Violation(f"batch of {key!r} is not atomic")
 
     def check(self) -> None:
-        """What must hold at every moment."""
+        """Check the invariants that hold at every event."""
         confirmed = [process for process in self.world.processes() if process.confirmed()]
         if len(confirmed) > 1:
             names = [
@@ -156,25 +157,25 @@
                 for process in confirmed
                 if process.leadership is not None
             ]
-            raise Violation(f"two leases hold: {names}")
+            raise Violation(f"two confirmed leases: {names}")
         for process in self.world.processes():
             core = process.node.core
-            if core is not None and self.sets.setdefault(core.version, core) != core:
-                raise Violation(f"two sets of version {core.version}")
+            if core is not None and self.core_sets.setdefault(core.version, core) != core:
+                raise Violation(f"two core sets of version {core.version}")
             self._check_confirmation(process)
             if process.loop.failures:
                 failure = process.loop.failures[0]
                 raise Violation(f"{process.machine.name}: {failure}") from failure.get("exception")
 
     def acknowledge(self, name: str) -> None:
-        """A change was acknowledged to whoever wished it."""
+        """Record a change that was acknowledged to its requester."""
         if name not in self.required:
             self.required.add(name)
             self.acknowledged.append(name)
             self.acknowledged_ms.append(self.world.now_ms)
 
     def _check_confirmation(self, process: Process) -> None:
-        """What a process takes for confirmed as of a time has all that was acknowledged before it."""
+        """Check that the confirmed configuration contains every change acknowledged before its time."""
         known = process.node.known()
         if known is None:
             return
@@ -187,30 +188,30 @@
             process.confirmed_count = count
 
     def committed(self, value: bytes | None) -> tuple[str, ...]:
-        """A committed value of the register: all of them are prefixes of one history."""
+        """Check that a committed value and the longest history don't diverge; returns the value's history."""
         history = tuple((value or b"").decode().split())
-        shorter, longer = sorted((history, self.longest), key=len)
+        shorter, longer = sorted((history, self.longest_history), key=len)
         if longer[: len(shorter)] != shorter:
-            raise Violation(f"two histories: {history} and {self.longest}")
-        self.longest = longer
+            raise Violation(f"divergent histories: {history} and {self.longest_history}")
+        self.longest_history = longer
         return history
 
     def read(self, value: bytes | None, required: set[str]) -> None:
-        """A value that was read after all the changes in `required` had been acknowledged."""
+        """Check a value whose read began after all changes in `required` had been acknowledged."""
         missing = required - set(self.committed(value))
         if missing:
             raise Violation(f"a read lacks {missing}")
 
     def saw_value(self, process: Process, value: bytes) -> None:
-        """A process learned a value; it never goes back."""
+        """Check that the values that a process learns never revert to an older one."""
         self.committed(value)
         lengths = [len(seen.split()) for seen in process.values]
         if lengths != sorted(lengths):
-            raise Violation(f"{process.machine.name} went back: {process.values}")
+            raise Violation(f"{process.machine.name} reverted to an older value: {process.values}")
 
 
 class World:
-    """Machines, a network, a clock."""
+    """A simulation with machines, a network and a virtual clock."""
 
     def __init__(
         self, seed: int, replicas: int = 3, clients: int = 1, *, tolerance: int = 1, diskless: bool = False
@@ -219,42 +220,42 @@
         self.now_ms = 0
         self.tolerance = tolerance
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self.network = Network(self, random.Random(self.rng.getrandbits(64)))
         self.judge = Judge(self)
         self.machines = [Machine(number, number < replicas, diskless) for number in range(replicas + clients)]
         self.seeds = tuple(machine.address for machine in self.machines[:3])
-        self.graveyard: list[Process] = []
-        self.operations = 0
+        self.killed_processes: list[Process] = []
+        self.operation_count = 0
 
     def steady_ms(self) -> int:
-        """The steady clock of all machines."""
+        """Return the time of the steady clock that all machines share."""
         return self.now_ms
 
     def processes(self) -> list[Process]:
-        """All living processes."""
+        """Return all live processes."""
         return [machine.process for machine in self.machines if machine.process is not None]
 
-    def alive_at(self, address: str) -> Process | None:
-        """The living process there."""
+    def process_at(self, address: str) -> Process | None:
+        """Return the live process at this address, or None."""
         for machine in self.machines:
             if machine.address == address:
                 return machine.process
         return None
 
-    def machine_up(self, address: str) -> bool:
-        """Whether the machine has power."""
+    def is_powered(self, address: str) -> bool:
+        """Return whether the machine at this address is powered on."""
         return any(machine.address == address and machine.up for machine in self.machines)
 
     # Time.
 
     def after(self, delay_ms: int, action: Callable[[], None]) -> None:
-        """Have something happen."""
-        self._count += 1
-        heapq.heappush(self._events, (self.now_ms + delay_ms, self._count, action))
+        """Schedule an action after `delay_ms`."""
+        self._event_count += 1
+        heapq.heappush(self._events, (self.now_ms + delay_ms, self._event_count, action))
 
     def run_for(self, duration_ms: int, until: Callable[[], bool] | None = None) -> bool:
-        """Play on; True as soon as `until` holds."""
+        """Advance the simulation; returns True as soon as `until` holds, and False after `duration_ms`."""
         end_ms = self.now_ms + duration_ms
         while True:
             self._run_instant()
@@ -267,7 +268,7 @@
             self.now_ms = next_ms
 
     def _run_instant(self) -> None:
-        """All that is due now, and what follows from it at once."""
+        """Run everything that is due now, including what it schedules for the same time, then check."""
         while True:
             busy = False
             while self._events and self._events[0][0] <= self.now_ms:
@@ -294,24 +295,24 @@
     # Faults.
 
     def start(self, machine: Machine) -> Process:
-        """Start a process there."""
+        """Power the machine on and start a process on it."""
         machine.up = True
         machine.process = Process(self, machine)
         machine.first_start = False
         return machine.process
 
     def start_all(self, spread_ms: int = 300) -> None:
-        """The very first start."""
+        """Start all machines for the first time, at random times within `spread_ms`."""
         for machine in self.machines:
             self.after(self.rng.randint(0, spread_ms), partial(self.restart, machine))
 
     def kill(self, machine: Machine, restart_ms: int | None = RESTART_MS, power: bool = False) -> None:
-        """End the process; start one again after a time (None: it stays down)."""
+        """Kill the process and start a new one after `restart_ms` (None: it stays down)."""
         process = machine.process
         if process is not None:
             process.alive = False
             process.loop.dead = True
-            self.graveyard.append(process)
+            self.killed_processes.append(process)
             machine.process = None
             machine.platter.crash(self.rng)
         machine.up = not power
@@ -319,53 +320,53 @@
             self.after(restart_ms, partial(self.restart, machine))
 
     def restart(self, machine: Machine) -> None:
-        """Start a process there, unless one runs."""
+        """Start a process on the machine, unless one is running or the machine is removed."""
         if machine.process is None and machine.present:
             self.start(machine)
 
     def wipe(self, machine: Machine, restart_ms: int | None = RESTART_MS) -> None:
-        """End the process and lose the disk."""
+        """Kill the process and replace the disk by an empty one."""
         self.kill(machine, restart_ms, power=True)
         machine.platter = Platter()
 
     def freeze(self, machine: Machine, duration_ms: int) -> None:
-        """Let the process stand still."""
+        """Suspend the process for `duration_ms`."""
         if machine.process is not None:
             machine.process.frozen_until_ms = self.now_ms + duration_ms
 
-    def name_seeds(self, machines: list[Machine]) -> None:
-        """The settings name other seeds: SIGHUP to the living, and whoever starts later reads them."""
+    def change_seeds(self, machines: list[Machine]) -> None:
+        """Change the seeds in the settings; live processes reload them as on SIGHUP, later ones read them."""
         self.seeds = tuple(machine.address for machine in machines)
         for process in self.processes():
             process.loop.call_soon(process.node.set_seeds, self.seeds)
 
     def cut(self, ones: list[Machine], others: list[Machine]) -> None:
-        """Let nothing pass between them."""
+        """Block all messages between the two groups of machines."""
         for one in ones:
             for other in others:
                 self.network.weather.cuts |= {(one.address, other.address), (other.address, one.address)}
 
     def heal(self) -> None:
-        """Join everything again, and let the links be good."""
+        """Remove all cuts, and stop losing, delaying and duplicating messages."""
         self.network.weather.cuts.clear()
         self.network.weather.lost = self.network.weather.late = self.network.weather.doubled = 0.0
 
     # Clients.
 
     def leader(self) -> Process | None:
-        """The process whose lease holds."""
+        """Return the process with a confirmed lease, or None."""
         return next((process for process in self.processes() if process.confirmed()), None)
 
     def write(self) -> None:
-        """The leader, if there is one, writes a batch; it is remembered once acknowledged."""
+        """Let the leader, if there is one, write a batch; the judge records it once acknowledged."""
         process = self.leader()
         if process is not None and process.runs() and process.leadership is not None:
-            self.operations += 1
-            self._begin(process, self._write, process.leadership, b"%d" % self.operations)
+            self.operation_count += 1
+            self._start_client_task(process, self._write, process.leadership, b"%d" % self.operation_count)
 
     @staticmethod
-    def _begin(process: Process, work: Callable[..., Any], *arguments: Any) -> None:
-        """Run client work in the process; nothing is left over of it if the process dies before."""
+    def _start_client_task(process: Process, work: Callable[..., Any], *arguments: Any) -> None:
+        """Run a client task in the process; it has no effect if the process is killed first."""
         process.loop.call_soon(lambda: process.loop.create_task(work(process, *arguments)))
 
     async def _write(self, process: Process, leadership: Leadership, number: bytes) -> None:
@@ -381,14 +382,14 @@
             self.judge.acked[b"one/" + slot] = max(newest, number, key=int)
 
     def change(self, process: Process) -> None:
-        """A process appends to the register."""
+        """Let the process append a new name to the register."""
         if process.runs():
-            self.operations += 1
-            self.append(process, f"c{self.operations}")
+            self.operation_count += 1
+            self.append(process, f"c{self.operation_count}")
 
     def append(self, process: Process, name: str) -> None:
-        """A process appends this name to the register."""
-        self._begin(process, self._change, name)
+        """Let the process append this name to the register."""
+        self._start_client_task(process, self._change, name)
 
     async def _change(self, process: Process, name: str) -> None:
         required = set(self.judge.required)
@@ -406,9 +407,9 @@
             self.judge.acknowledge(name)
 
     def read(self, process: Process) -> None:
-        """A process reads the register."""
+        """Let the process read the register."""
         if process.runs():
-            self._begin(process, self._read)
+            self._start_client_task(process, self._read)
 
     async def _read(self, process: Process) -> None:
         required = set(self.judge.required)
@@ -420,7 +421,7 @@
             self.judge.read(value, required)
 
     def settled(self) -> bool:
-        """Whether all replicas are active in one full set, and a leader holds its lease."""
+        """Return whether all replicas are active members of one core set, and a leader holds its lease."""
         down = any(machine.process is None for machine in self.machines if machine.present)
         if down or self.leader() is None:
             return False
@@ -436,6 +437,6 @@
                 versions.add(serving.version)
         return len(versions) == 1
 
-    def views(self) -> list[LeaderView | None]:
-        """Whom each process takes for the leader."""
+    def leader_views(self) -> list[LeaderView | None]:
+        """Return the leader known to each process."""
         return [process.node.leader for process in self.processes()]
--- a/tests/system/test_coordination_seeds.py
+++ b/tests/system/test_coordination_seeds.py
@@ -1,7 +1,7 @@
-"""Whoever starts without memory finds the core, whichever machines the settings name as seeds.
+"""A process that starts without stored state finds the core set, whichever machines are its seeds.
 
-A scheduler without a disk forgets the core when its process ends; those that know it, by their disks or their
-memory, are not always among those whom a new process can ask.
+A scheduler without a disk loses its knowledge of the core set when its process ends. The processes that know
+the core set, on disk or in memory, are not always among the seeds that a new process can query.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from .coordination_world import Machine, World
 
 FOUND_WITHIN_MS = 3_000  # after the last restart
-FOUNDED_WITHIN_MS = 20_000  # far beyond the patience of the second founder
+FOUNDED_WITHIN_MS = 20_000  # well above `FOUNDATION_PATIENCE_MS`, the time limit of the second founder
 
 
 def world_with_other_seeds(seed: int, clients: int = 4) -> tuple[World, list[Machine]]:
-    """A founded world whose settings now name three machines that keep nothing; and these machines."""
+    """Return a settled simulation whose seeds are now three machines without a disk, and these machines."""
     world = World(seed, clients=clients)
     world.start_all()
-    assert world.run_for(6_000, world.settled), "no leader"
-    keeping_nothing = [machine for machine in world.machines if not machine.counts][:3]
-    world.name_seeds(keeping_nothing)
+    assert world.run_for(6_000, world.settled), "no settled core with a leader after the first start"
+    diskless = [machine for machine in world.machines if not machine.counts][:3]
+    world.change_seeds(diskless)
     world.run_for(3_000)
-    return world, keeping_nothing
+    return world, diskless
 
 
-def all_follow(world: World) -> bool:
-    """Whether every process knows the core and its present leader."""
+def all_know_leader(world: World) -> bool:
+    """Return whether every process knows the core set and the current leader."""
     leader = world.leader()
     if leader is None or leader.leadership is None:
         return False
@@ -35,56 +35,56 @@
     return len(known) == len(world.machines) and all(process.node.core for process in world.processes())
 
 
-class SeedsThatKeepNothing(unittest.TestCase):
-    def test_the_core_is_found_after_all_lost_power_and_the_replicas_are_back_first(self) -> None:
+class DisklessSeeds(unittest.TestCase):
+    def test_the_core_is_found_after_a_power_loss_if_the_replicas_return_first(self) -> None:
         for seed in range(10):
             world, _ = world_with_other_seeds(seed)
             for machine in world.machines:
                 back_ms = world.rng.randint(300, 400) if machine.counts else world.rng.randint(600, 1_300)
                 world.kill(machine, back_ms, power=True)
             world.run_for(1_300)
-            found = world.run_for(FOUND_WITHIN_MS, lambda world=world: all_follow(world))  # type: ignore[misc]
-            self.assertTrue(found, f"seed {seed}: {world.views()}")
+            found = world.run_for(FOUND_WITHIN_MS, lambda world=world: all_know_leader(world))  # type: ignore[misc]
+            self.assertTrue(found, f"seed {seed}: {world.leader_views()}")
 
-    def test_the_core_is_found_after_the_seeds_alone_were_lost(self) -> None:
+    def test_the_core_is_found_after_only_the_seeds_restart(self) -> None:
         for seed in range(10):
             world, seeds = world_with_other_seeds(seed)
-            world.run_for(20_000)  # whoever is not heard of for long is forgotten
+            world.run_for(20_000)  # long enough that processes forget addresses that they no longer hear of
             for machine in seeds:
                 world.kill(machine, world.rng.randint(300, 600))
             world.run_for(600)
-            found = world.run_for(FOUND_WITHIN_MS, lambda world=world: all_follow(world))  # type: ignore[misc]
-            self.assertTrue(found, f"seed {seed}: {world.views()}")
+            found = world.run_for(FOUND_WITHIN_MS, lambda world=world: all_know_leader(world))  # type: ignore[misc]
+            self.assertTrue(found, f"seed {seed}: {world.leader_views()}")
 
     def test_a_chain_of_seeds_leads_to_the_core(self) -> None:
-        """Settings of different ages: the seed of a new machine is known to none that knows the core."""
+        """The seed of a new machine isn't a seed of any process that knows the core set."""
         world = World(1, clients=3)
         world.start_all()
         self.assertTrue(world.run_for(6_000, world.settled))
         first, middle, last = world.machines[3:]
-        world.name_seeds([middle])
+        world.change_seeds([middle])
         for machine in (first, middle, last):
             world.kill(machine)
         world.run_for(100)
-        world.seeds = (first.address,)  # told to those that start now; the replicas go on with the middle one
-        self.assertTrue(world.run_for(FOUND_WITHIN_MS, lambda: all_follow(world)), world.views())
+        world.seeds = (first.address,)  # for processes started from now on; the replicas keep the middle one
+        self.assertTrue(world.run_for(FOUND_WITHIN_MS, lambda: all_know_leader(world)), world.leader_views())
 
-    def test_introductions_make_no_candidates_of_members(self) -> None:
+    def test_introductions_do_not_make_members_candidates(self) -> None:
         world, _ = world_with_other_seeds(2)
-        world.name_seeds([machine for machine in world.machines if machine.counts])
+        world.change_seeds([machine for machine in world.machines if machine.counts])
         world.run_for(10_000)
-        self.assertEqual({1}, set(world.judge.sets))
+        self.assertEqual({1}, set(world.judge.core_sets))
 
 
-class FoundationBySeedsThatKeepNothing(unittest.TestCase):
-    def test_the_first_start_bears_the_loss_of_its_seeds(self) -> None:
-        """They gather the first core set, and have been started anew before anybody adopted it."""
+class FoundationByDisklessSeeds(unittest.TestCase):
+    def test_the_first_start_tolerates_a_restart_of_its_seeds(self) -> None:
+        """The seeds collect the members of the first core set, and restart before any replica adopts it."""
         world = World(1, clients=4)
-        keeping_nothing = [machine for machine in world.machines if not machine.counts]
-        world.name_seeds(keeping_nothing[:3])
+        diskless = [machine for machine in world.machines if not machine.counts]
+        world.change_seeds(diskless[:3])
         world.start_all()
         world.run_for(900)
-        for machine in keeping_nothing:
+        for machine in diskless:
             world.kill(machine)
         self.assertTrue(world.run_for(FOUNDED_WITHIN_MS, world.settled))
 
--- a/tests/system/test_coordination_slow_links.py
+++ b/tests/system/test_coordination_slow_links.py
@@ -1,7 +1,7 @@
 """A large configuration over slow links: six replicas, and 34 processes without one at 250 kB/s each.
 
-A value of 400 kB that no packing makes smaller takes 1.6 s over such a link. Changes and reads beside one
-another, at any process, must all get through, and what each of them moves must not grow with the value.
+An incompressible value of 400 kB takes 1.6 s over such a link. Concurrent changes and reads at any process
+must all succeed, and the bytes that each of them transfers must not grow with the value.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 from .coordination_world import Process, World
 
-REPLICAS, OTHERS = 6, 34
+REPLICAS, CLIENTS = 6, 34
 BYTES_PER_MS = 250.0  # 2 Mbit/s
 VALUE_BYTES = 400_000
 CHANGES = 12
-CHANGE_EVERY_MS = 700
-ACKNOWLEDGED_MS = 2_000
-APPLIED_MS = 3_000
-BYTES_A_CHANGE = 20_000  # on any slow link
-BYTES_A_READ = 2_000  # by a process that is up to date
+CHANGE_INTERVAL_MS = 700
+MAX_ACKNOWLEDGEMENT_MS = 2_000
+APPLY_PERIOD_MS = 3_000
+MAX_BYTES_PER_CHANGE = 20_000  # on any slow link
+MAX_BYTES_PER_READ = 2_000  # by a process that is up to date
 
 
 def world_with_slow_links(seed: int) -> World:
-    """Given: all have started, the core is settled, and the register holds a large value that all know."""
-    world = World(seed, REPLICAS, OTHERS, tolerance=2)
+    """Return a settled simulation in which every process knows a large value of the register."""
+    world = World(seed, REPLICAS, CLIENTS, tolerance=2)
     for machine in world.machines[REPLICAS:]:
         world.network.links.limit(machine.address, BYTES_PER_MS)
     world.start_all()
@@ -38,17 +38,17 @@
 
 
 def slow_processes(world: World) -> list[Process]:
-    """The processes without a replica."""
+    """Return the processes without a replica, which have the slow links."""
     return world.processes()[REPLICAS:]
 
 
 def received(world: World) -> dict[str, int]:
-    """The bytes that each slow link has brought so far."""
+    """Return the bytes received so far over each slow link."""
     return {process.address: world.network.bytes_to[process.address] for process in slow_processes(world)}
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_changes_and_reads_at_any_process_get_through_beside_one_another(seed: int) -> None:
+def test_concurrent_changes_and_reads_at_any_process_succeed(seed: int) -> None:
     world = world_with_slow_links(seed)
     sent_ms = []
     for _ in range(CHANGES):
@@ -56,16 +56,16 @@
         sent_ms.append(world.now_ms)
         for _ in range(3):
             world.read(world.rng.choice(slow_processes(world)))
-        world.run_for(CHANGE_EVERY_MS)
-    world.run_for(APPLIED_MS)
+        world.run_for(CHANGE_INTERVAL_MS)
+    world.run_for(APPLY_PERIOD_MS)
     times_ms = world.judge.acknowledged_ms[-CHANGES:]
     assert len(world.judge.acknowledged_ms) == CHANGES + 1, "a change was not acknowledged"
-    assert max(done - sent for done, sent in zip(times_ms, sent_ms, strict=True)) <= ACKNOWLEDGED_MS
+    assert max(done - sent for done, sent in zip(times_ms, sent_ms, strict=True)) <= MAX_ACKNOWLEDGEMENT_MS
     newest = max((process.values[-1] for process in world.processes()), key=len)
     assert all(process.values[-1] == newest for process in world.processes())
 
 
-def test_a_change_and_a_read_move_little_over_a_slow_link() -> None:
+def test_a_change_and_a_read_transfer_few_bytes_over_a_slow_link() -> None:
     world = world_with_slow_links(3)
     world.run_for(1_000)
     quiet = received(world)
@@ -75,11 +75,11 @@
     before = received(world)[reader.address]
     world.read(reader)
     world.run_for(2_000)
-    assert received(world)[reader.address] - before - idle[reader.address] <= BYTES_A_READ
+    assert received(world)[reader.address] - before - idle[reader.address] <= MAX_BYTES_PER_READ
     start = received(world)
     for _ in range(CHANGES):
         world.change(world.rng.choice(slow_processes(world)))
-        world.run_for(CHANGE_EVERY_MS)
+        world.run_for(CHANGE_INTERVAL_MS)
     for address, count in received(world).items():
-        polls = idle[address] * CHANGES * CHANGE_EVERY_MS / 2_000
-        assert count - start[address] - polls <= CHANGES * BYTES_A_CHANGE
+        polls = idle[address] * CHANGES * CHANGE_INTERVAL_MS / 2_000
+        assert count - start[address] - polls <= CHANGES * MAX_BYTES_PER_CHANGE
