--- a/tests/system/coordination_disk.py
+++ b/tests/system/coordination_disk.py
@@ -1,4 +1,4 @@
-"""A keyed store in virtual time: group commit, and what a crash leaves."""
+"""A simulated keyed store in virtual time, with group commit and crashes that lose unsynced writes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Platter:
-    """What outlives a process: the writes in their order, and how many of them are synced."""
+    """The simulated disk, which outlives the process: the ordered writes and the number that are synced."""
 
     def __init__(self) -> None:
         self.writes: list[list[Change]] = []
-        self.synced = 0
+        self.synced_writes = 0
         self.base: Content = {}
         self.formatted = False
         self.sync_ms = (4, 9)
@@ -24,15 +24,15 @@
         self.failing = False
 
     def crash(self, rng: random.Random) -> None:
-        """Writes that were not synced are kept up to some point, which is drawn."""
-        kept = rng.randint(self.synced, len(self.writes))
-        self.base = content(self.base, self.writes[:kept])
+        """Keep the synced writes and a random number of the unsynced ones, in order; drop the rest."""
+        kept_writes = rng.randint(self.synced_writes, len(self.writes))
+        self.base = apply_writes(self.base, self.writes[:kept_writes])
         self.writes = []
-        self.synced = 0
+        self.synced_writes = 0
 
 
-def content(base: Content, writes: Iterable[Sequence[Change]]) -> Content:
-    """The content after these writes."""
+def apply_writes(base: Content, writes: Iterable[Sequence[Change]]) -> Content:
+    """Return the content after applying `writes` to `base`."""
     items = dict(base)
     for write in writes:
         for key, value in write:
@@ -44,13 +44,13 @@
 
 
 class SimulatedStore:
-    """A `KeyedStore` of one life of a process on a platter."""
+    """A `KeyedStore` on a platter, used by one process until it ends."""
 
     def __init__(self, platter: Platter, rng: random.Random, now_ms: Callable[[], int]) -> None:
         self._platter = platter
         self._rng = rng
         self._now_ms = now_ms
-        self._items = content(platter.base, platter.writes)
+        self._items = apply_writes(platter.base, platter.writes)
         self._syncing = False
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._tickets_before = len(platter.writes)
@@ -60,11 +60,11 @@
 
     @property
     def items(self) -> Mapping[bytes, bytes]:
-        """What was applied."""
+        """All applied records."""
         return self._items
 
     def apply(self, changes: Sequence[Change]) -> int:
-        """Change memory, and the platter's queue."""
+        """Apply the changes to memory and add them to the writes of the platter."""
         self._platter.writes.append(list(changes))
         for key, value in changes:
             if value is None:
@@ -74,29 +74,29 @@
         return len(self._platter.writes)
 
     def replace(self, changes: Iterable[tuple[bytes, bytes]], keep: Callable[[bytes], bool]) -> int:
-        """One write that drops and puts."""
-        dropped: list[Change] = [(key, None) for key in self._items if not keep(key)]
-        return self.apply([*dropped, *changes])
+        """Delete every key for which `keep` is false and apply `changes`, in one write."""
+        deletes: list[Change] = [(key, None) for key in self._items if not keep(key)]
+        return self.apply([*deletes, *changes])
 
     async def durable(self, ticket: int) -> None:
-        """Wait for the sync that covers it."""
-        if ticket <= self._platter.synced:
+        """Wait for a sync that covers the ticket."""
+        if ticket <= self._platter.synced_writes:
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append((ticket, waiter))
         if not self._syncing:
-            self._begin()
+            self._start_sync()
         await waiter
 
-    def _begin(self) -> None:
+    def _start_sync(self) -> None:
         self._syncing = True
         platter = self._platter
-        covered = len(platter.writes)
+        covered_writes = len(platter.writes)
         stall_ms = max(0, platter.stalled_until_ms - self._now_ms())
         delay_ms = self._rng.randint(*platter.sync_ms) + stall_ms
-        asyncio.get_running_loop().call_later(delay_ms / 1_000, self._end, covered)
+        asyncio.get_running_loop().call_later(delay_ms / 1_000, self._finish_sync, covered_writes)
 
-    def _end(self, covered: int) -> None:
+    def _finish_sync(self, covered_writes: int) -> None:
         self._syncing = False
         waiters, self._waiters = self._waiters, []
         if self._platter.failing:
@@ -104,18 +104,18 @@
                 if not waiter.done():
                     waiter.set_exception(StorageFailed("simulated"))
             return
-        self._platter.synced = max(self._platter.synced, covered)
+        self._platter.synced_writes = max(self._platter.synced_writes, covered_writes)
         for ticket, waiter in waiters:
-            if ticket > covered:
+            if ticket > covered_writes:
                 self._waiters.append((ticket, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
         if self._waiters:
-            self._begin()
+            self._start_sync()
 
     def stalled_ms(self, now_ms: float) -> float:
-        """Not told."""
+        """Always 0.0: the duration of a sync isn't simulated here."""
         return 0.0
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: no files are open."""
