--- a/flintfield/coordination/storage/__init__.py
+++ b/flintfield/coordination/storage/__init__.py
@@ -1,8 +1,8 @@
 """Durable storage: a keyed store of small records on a ring of preallocated files.
 
-The content is held whole in memory. A change is applied at once and becomes durable by group commit: while
-one sync runs, later changes gather, and go out with the next write and sync. docs/system-storage.md tells
-what is guaranteed, the format, and what each fault leads to.
+All records are held in memory. A change is applied to memory immediately and becomes durable by group commit:
+changes that arrive while a sync is running are batched into the next write and sync. docs/system-storage.md
+describes the guarantees, the file format and the effect of each kind of fault.
 """
 
 from flintfield.coordination.storage.disk import Disk, DiskFile, OsDisk
--- a/flintfield/coordination/storage/compaction.py
+++ b/flintfield/coordination/storage/compaction.py
@@ -1,9 +1,9 @@
-"""Compaction: when to write the content again, and in which pieces.
+"""Log compaction: when to start a snapshot, and how to divide it into chunks.
 
-A snapshot is written in pieces beside the changes: each frame carries some items as they are at that
-moment, until all have been written once more; then the files before the snapshot's start are free. A
-piece goes into the same frame as all changes that were pending when it was taken, so it never shows a
-value whose own change is not in the log.
+A snapshot is written incrementally, along with the changes: each frame carries some items with their current
+values until every item has been written again; then the files before the start of the snapshot are free. A
+chunk is written in the same frame as all changes that were pending when it was taken, so it never contains a
+value whose change is not in the log.
 """
 
 from __future__ import annotations
@@ -13,57 +13,61 @@
 from flintfield.coordination.storage.format import entry_bytes
 from flintfield.coordination.storage.interface import Change
 
-MODEST_RING_BYTES = 16 << 20  # the ring stays within this (or half the limit) unless its content needs more
-CHAIN_PER_LIVE = 2  # a snapshot starts once the log is this many times the content, or half of a modest ring
-LIVE_PART_OF_LIMIT = 8  # the content may take 1/8 of the limit: see "Space" in docs/system-storage.md
-PIECE_PART_OF_SEGMENT = 32  # a piece is 32 KiB for files of 1 MiB: 0.3 ms at 120 MB/s
-PIECE_PER_CHANGE = 2  # and at least this many times the changes beside it, so that the snapshot ends in time
+SOFT_RING_LIMIT_BYTES = 16 << 20  # the ring stays within this (or half the limit) unless content needs more
+LOG_TO_LIVE_RATIO = 2  # a snapshot starts at this ratio of log to content, or at half of the soft limit
+LIVE_LIMIT_DIVISOR = 8  # the content may use 1/8 of the limit: see "Space" in docs/system-storage.md
+CHUNK_SEGMENT_DIVISOR = 32  # a chunk is 32 KiB for files of 1 MiB: 0.3 ms at 120 MB/s
+CHUNK_TO_CHANGES_RATIO = 2  # minimum size relative to the changes of the frame, so the snapshot ends in time
 
 
 def content_bound(limit_bytes: int) -> int:
-    """The largest content in bytes of a store whose files may take this many; beyond: `StorageFull`."""
-    return limit_bytes // LIVE_PART_OF_LIMIT
+    """The maximum content in bytes for this limit on the files; `StorageFull` is raised above it."""
+    return limit_bytes // LIVE_LIMIT_DIVISOR
 
 
-def chain_bound(limit_bytes: int, live_bytes: int) -> int:
-    """The length of the log in bytes at which a snapshot starts."""
-    return max(min(limit_bytes // 2, MODEST_RING_BYTES) // 2, CHAIN_PER_LIVE * live_bytes)
+def compaction_threshold(limit_bytes: int, live_bytes: int) -> int:
+    """The length of the log, in bytes, at which a snapshot starts."""
+    return max(min(limit_bytes // 2, SOFT_RING_LIMIT_BYTES) // 2, LOG_TO_LIVE_RATIO * live_bytes)
 
 
-class PiecewiseSnapshot:
-    """The keys that are still to be written of a snapshot under way."""
+class IncrementalSnapshot:
+    """The keys that a running snapshot has yet to write."""
 
     def __init__(self, items: Mapping[bytes, bytes], segment_bytes: int) -> None:
         self._items = items
-        self._left = list(items)
-        self._least_piece = segment_bytes // PIECE_PART_OF_SEGMENT
+        self._remaining_keys = list(items)
+        self._min_chunk_bytes = segment_bytes // CHUNK_SEGMENT_DIVISOR
 
     @property
-    def ended(self) -> bool:
-        """Whether all were taken: with the frame that holds the last piece, the snapshot ends."""
-        return not self._left
+    def finished(self) -> bool:
+        """Whether all keys were taken: the frame with the last chunk completes the snapshot."""
+        return not self._remaining_keys
 
-    def take(
-        self, changes: Container[bytes], size: int, room: int, empty_room: int
+    def next_chunk(
+        self, changes: Container[bytes], changes_bytes: int, free_payload_bytes: int, max_payload_bytes: int
     ) -> tuple[list[Change], int]:
-        """The next items, and their size in bytes, for a frame that holds these changes of that size.
+        """Return the next items and their encoded size for a frame that also holds `changes`.
 
-        `room` is what the current segment's frame holds, `empty_room` what an empty segment's does: if
-        not one item fits into the first, the frame goes into the next file.
+        `free_payload_bytes` is the payload that still fits into the current segment, `max_payload_bytes` the
+        payload that fits into an empty one: if not even one item fits into the current segment, the frame is
+        written to the next file.
         """
-        budget = max(self._least_piece, PIECE_PER_CHANGE * size)
-        piece: list[Change] = []
-        total = 0
-        while self._left:
-            key = self._left[-1]
+        budget = max(self._min_chunk_bytes, CHUNK_TO_CHANGES_RATIO * changes_bytes)
+        chunk: list[Change] = []
+        chunk_bytes = 0
+        while self._remaining_keys:
+            key = self._remaining_keys[-1]
             value = self._items.get(key)
             if value is not None and key not in changes:
                 item_bytes = entry_bytes(key, value)
-                if not piece and size + item_bytes > room:
-                    room = empty_room
-                if piece and (total + item_bytes > budget or size + total + item_bytes > room):
+                if not chunk and changes_bytes + item_bytes > free_payload_bytes:
+                    free_payload_bytes = max_payload_bytes
+                if chunk and (
+                    chunk_bytes + item_bytes > budget
+                    or changes_bytes + chunk_bytes + item_bytes > free_payload_bytes
+                ):
                     break
-                piece.append((key, value))
-                total += item_bytes
-            self._left.pop()
-        return piece, total
+                chunk.append((key, value))
+                chunk_bytes += item_bytes
+            self._remaining_keys.pop()
+        return chunk, chunk_bytes
--- a/flintfield/coordination/storage/disk.py
+++ b/flintfield/coordination/storage/disk.py
@@ -1,7 +1,7 @@
-"""The few file operations that the store uses, and the operating system's.
+"""The file operations that the store needs, and their implementation on the operating system.
 
-Every operation blocks and raises `OSError`. Positions are told with each call, so that a simulated disk
-sees each write as (file, offset, bytes). The simulated one for tests is in tests/system.
+Every operation blocks and may raise `OSError`. Each read and write takes an explicit offset, so that a
+simulated disk sees each write as (file, offset, bytes). The simulated disk for tests is in tests/system.
 """
 
 from __future__ import annotations
@@ -11,99 +11,99 @@
 
 
 class DiskFile(Protocol):
-    """An open file. A failed sync is final for it: it must be closed, and its content be taken as unknown."""
+    """An open file. After a failed sync it must be closed, and its content must be treated as unknown."""
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """The length of the file in bytes."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to that many bytes; fewer only at the end of the file."""
+        """Read up to `length` bytes; returns fewer only at the end of the file."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all of these bytes there."""
+        """Write all of `data` at `offset`."""
 
     def sync_data(self) -> None:
-        """Return once the bytes written so far are durable; the length was made so before."""
+        """Return once the bytes written so far are durable; the file length must already be durable."""
 
     def sync_all(self) -> None:
-        """Return once the bytes and the length are durable."""
+        """Return once the bytes and the file length are durable."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the file."""
 
 
 class Disk(Protocol):
-    """A folder's worth of a file system."""
+    """The file system operations on one directory."""
 
     def names(self, directory: str) -> list[str]:
-        """The names in the folder, which is created if it's missing."""
+        """The file names in the directory, which is created if it doesn't exist."""
 
     def open(self, path: str) -> DiskFile:
-        """Open a file to read and write; it is created, empty, if it's missing."""
+        """Open a file for reading and writing; it is created empty if it doesn't exist."""
 
     def sync_directory(self, directory: str) -> None:
-        """Return once the names in the folder are durable."""
+        """Return once the directory entries are durable."""
 
 
 class OsFile:
-    """A file of the operating system; used by one thread at a time."""
+    """A file of the operating system. Not thread-safe: used by one thread at a time."""
 
     def __init__(self, path: str) -> None:
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         self._position = 0
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """The length of the file in bytes."""
         self._position = os.lseek(self._descriptor, 0, os.SEEK_END)
         return self._position
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to that many bytes; fewer only at the end of the file."""
+        """Read up to `length` bytes; returns fewer only at the end of the file."""
         self._seek(offset)
-        parts = []
+        chunks = []
         while length > 0:
-            part = os.read(self._descriptor, length)
-            if not part:
+            chunk = os.read(self._descriptor, length)
+            if not chunk:
                 break
-            parts.append(part)
-            length -= len(part)
-            self._position += len(part)
-        return b"".join(parts)
+            chunks.append(chunk)
+            length -= len(chunk)
+            self._position += len(chunk)
+        return b"".join(chunks)
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all of these bytes there."""
+        """Write all of `data` at `offset`."""
         self._seek(offset)
-        view = memoryview(data)
-        while view:
-            written = os.write(self._descriptor, view)
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(self._descriptor, remaining)
             self._position += written
-            view = view[written:]
+            remaining = remaining[written:]
 
     def sync_data(self) -> None:
-        """`fdatasync`."""
+        """Call `fdatasync`."""
         os.fdatasync(self._descriptor)
 
     def sync_all(self) -> None:
-        """`fsync`."""
+        """Call `fsync`."""
         os.fsync(self._descriptor)
 
     def close(self) -> None:
-        """Close the descriptor, whatever the system says to it."""
+        """Close the descriptor; it counts as closed even if the system call fails."""
         descriptor, self._descriptor = self._descriptor, -1
         if descriptor >= 0:
             os.close(descriptor)
 
     def _seek(self, offset: int) -> None:
         if self._position != offset:
-            self._position = -1  # unknown, should the seek fail
+            self._position = -1  # unknown if the seek fails
             self._position = os.lseek(self._descriptor, offset, os.SEEK_SET)
 
 
 class OsDisk:
-    """The operating system's files."""
+    """A `Disk` on the file system of the operating system."""
 
     def names(self, directory: str) -> list[str]:
-        """The names in the folder, which is created if it's missing."""
+        """The file names in the directory, which is created if it doesn't exist."""
         try:
             return os.listdir(directory)
         except FileNotFoundError:
@@ -112,11 +112,11 @@
             return []
 
     def open(self, path: str) -> DiskFile:
-        """Open a file to read and write; it is created, empty, if it's missing."""
+        """Open a file for reading and writing; it is created empty if it doesn't exist."""
         return OsFile(path)
 
     def sync_directory(self, directory: str) -> None:
-        """`fsync` of the folder."""
+        """Call `fsync` on the directory."""
         descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/flintfield/coordination/storage/format.py
+++ b/flintfield/coordination/storage/format.py
@@ -1,14 +1,14 @@
-"""The bytes of a segment: a header, then frames that are chained by checksum. Pure functions.
+"""Encoding of a segment: a header, then frames that are chained by checksum. All functions are pure.
 
     segment  magic 8 | sequence 8 | life 8 | life of predecessor 8 | chain of predecessor 4 | flags 1 | crc 4
     frame    life 8 | length of payload 4 | flags 1 | crc 4 | payload
     payload  entries: length of key 2 | length of value 4 (all ones: deleted) | key | value
 
-All numbers are little-endian. `life` is a random number that is drawn each time a file is taken into use,
-so that frames of the file's earlier uses are told apart. The crc of a frame covers its header and payload
-and is seeded with the crc of the frame before it (for the first: of the segment's header), as in SQLite's
-write-ahead log: a frame is valid only as the successor of exactly those before it. A segment names the life
-and the last crc of the one that it continues; both are 0 where it begins a new chain.
+All numbers are little-endian. `life` is a random number drawn each time a file is reused, which distinguishes
+the frames of this use from those of earlier uses. The crc of a frame covers its header and payload and is
+seeded with the crc of the preceding frame (of the segment header for the first frame), as in SQLite's
+write-ahead log: a frame is valid only after exactly the frames that precede it. A segment header stores the
+life and the last crc of the segment that it continues; both are 0 in the first segment of a new chain.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from flintfield.coordination.storage.interface import Change
 
 MAGIC = b"FFRING01"
-LARGEST_KEY = 0xFFFE  # bytes, by the width of its length
+MAX_KEY_BYTES = 0xFFFE  # limited by the 2-byte length field
 
 _SEGMENT = struct.Struct("<8sQQQIB")
 _FRAME = struct.Struct("<QIB")
@@ -36,22 +36,22 @@
 
 
 class SegmentFlag(enum.IntFlag):
-    """What is special about a segment."""
+    """Flags in a segment header."""
 
     NONE = 0
-    SNAPSHOT_STARTS = 1  # a replay may begin here, if the snapshot's end is found after it
+    SNAPSHOT_STARTS = 1  # replay may start here if the end of the snapshot follows
 
 
 class FrameFlag(enum.IntFlag):
-    """What is special about a frame."""
+    """Flags in a frame header."""
 
     NONE = 0
-    SNAPSHOT_ENDS = 1  # with this frame, the log holds all items since the snapshot's start
+    SNAPSHOT_ENDS = 1  # up to this frame, the log holds all items since the start of the snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
-    """The head of a segment. `sequence` rises with each file that is taken into use."""
+    """The header of a segment. `sequence` increases each time a file is put into use."""
 
     sequence: int
     life: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One group of changes, and the chain's crc after it."""
+    """One group of changes and the crc of the chain after it."""
 
     entries: list[Change]
     flags: FrameFlag
@@ -75,16 +75,16 @@
 
 
 def encode_segment(header: SegmentHeader) -> tuple[bytes, int]:
-    """The bytes of a header, and the chain's crc after it."""
-    head = _SEGMENT.pack(
+    """Return the encoded header and the crc of the chain after it."""
+    packed_fields = _SEGMENT.pack(
         MAGIC, header.sequence, header.life, header.previous_life, header.previous_chain, header.flags
     )
-    chain = zlib.crc32(head)
-    return head + _CRC.pack(chain), chain
+    chain = zlib.crc32(packed_fields)
+    return packed_fields + _CRC.pack(chain), chain
 
 
 def decode_segment(data: bytes) -> tuple[SegmentHeader, int] | None:
-    """The header at the start of these bytes and the chain's crc after it; None where there is none."""
+    """Return the header at the start of `data` and the crc of the chain after it; None if it is invalid."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
     magic, sequence, life, previous_life, previous_chain, flags = _SEGMENT.unpack_from(data)
@@ -95,7 +95,7 @@
 
 
 def encode_frame(entries: Iterable[Change], flags: FrameFlag, life: int, chain: int) -> tuple[bytes, int]:
-    """The bytes of a frame that follows that chain, and the chain's crc after it."""
+    """Return the encoded frame, whose preceding crc is `chain`, and the crc of the chain after it."""
     parts = []
     for key, value in entries:
         parts.append(_ENTRY.pack(len(key), _DELETED if value is None else len(value)))
@@ -103,41 +103,41 @@
         if value is not None:
             parts.append(value)
     payload = b"".join(parts)
-    head = _FRAME.pack(life, len(payload), flags)
-    chain = zlib.crc32(payload, zlib.crc32(head, chain))
-    return b"".join((head, _CRC.pack(chain), payload)), chain
+    packed_fields = _FRAME.pack(life, len(payload), flags)
+    chain = zlib.crc32(payload, zlib.crc32(packed_fields, chain))
+    return b"".join((packed_fields, _CRC.pack(chain), payload)), chain
 
 
 def decode_frames(data: bytes, life: int, chain: int) -> Iterator[Frame]:
-    """The frames of a segment, up to the first that is not the valid successor of those before it."""
-    at = SEGMENT_HEADER_BYTES
-    while at + FRAME_HEADER_BYTES <= len(data):
-        head_end = at + _FRAME.size
-        own_life, length, flags = _FRAME.unpack_from(data, at)
-        (crc,) = _CRC.unpack_from(data, head_end)
-        start = at + FRAME_HEADER_BYTES
-        end = start + length
-        if own_life != life or end > len(data):
+    """Yield the frames of a segment up to the first that is not a valid successor of the one before."""
+    offset = SEGMENT_HEADER_BYTES
+    while offset + FRAME_HEADER_BYTES <= len(data):
+        header_end = offset + _FRAME.size
+        frame_life, length, flags = _FRAME.unpack_from(data, offset)
+        (crc,) = _CRC.unpack_from(data, header_end)
+        payload_start = offset + FRAME_HEADER_BYTES
+        payload_end = payload_start + length
+        if frame_life != life or payload_end > len(data):
             return
-        payload = data[start:end]
-        chain = zlib.crc32(payload, zlib.crc32(data[at:head_end], chain))
+        payload = data[payload_start:payload_end]
+        chain = zlib.crc32(payload, zlib.crc32(data[offset:header_end], chain))
         if crc != chain:
             return
         yield Frame(_entries(payload), FrameFlag(flags), chain)
-        at = end
+        offset = payload_end
 
 
 def _entries(payload: bytes) -> list[Change]:
     entries: list[Change] = []
-    at, end = 0, len(payload)
-    while at < end:
-        key_length, value_length = _ENTRY.unpack_from(payload, at)
-        at += ENTRY_HEADER_BYTES
-        key = payload[at : at + key_length]
-        at += key_length
+    offset, payload_end = 0, len(payload)
+    while offset < payload_end:
+        key_length, value_length = _ENTRY.unpack_from(payload, offset)
+        offset += ENTRY_HEADER_BYTES
+        key = payload[offset : offset + key_length]
+        offset += key_length
         if value_length == _DELETED:
             entries.append((key, None))
             continue
-        entries.append((key, payload[at : at + value_length]))
-        at += value_length
+        entries.append((key, payload[offset : offset + value_length]))
+        offset += value_length
     return entries
--- a/flintfield/coordination/storage/memory.py
+++ b/flintfield/coordination/storage/memory.py
@@ -8,7 +8,7 @@
 
 
 class MemoryStore:
-    """A `KeyedStore` whose changes count as durable at once; always fresh, never full."""
+    """A `KeyedStore` that reports changes as durable immediately; always fresh, never full."""
 
     fresh = True
 
@@ -18,11 +18,11 @@
 
     @property
     def items(self) -> Mapping[bytes, bytes]:
-        """What was applied."""
+        """All applied records."""
         return self._items
 
     def apply(self, changes: Sequence[Change]) -> int:
-        """Change memory; returns a ticket that rises."""
+        """Apply the changes to memory; returns an increasing ticket."""
         for key, value in changes:
             if value is None:
                 self._items.pop(key, None)
@@ -32,16 +32,16 @@
         return self._ticket
 
     def replace(self, changes: Iterable[tuple[bytes, bytes]], keep: Callable[[bytes], bool]) -> int:
-        """Drop every key for which `keep` is false, then put these."""
-        dropped: list[Change] = [(key, None) for key in self._items if not keep(key)]
-        return self.apply([*dropped, *changes])
+        """Delete every key for which `keep` is false, then apply `changes`."""
+        deletes: list[Change] = [(key, None) for key in self._items if not keep(key)]
+        return self.apply([*deletes, *changes])
 
     async def durable(self, ticket: int) -> None:
-        """Return at once."""
+        """Return immediately."""
 
     def stalled_ms(self, now_ms: float) -> float:
-        """0.0: there is no sync."""
+        """Always 0.0, because there is no sync."""
         return 0.0
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: no files are open."""
--- a/flintfield/coordination/storage/opening.py
+++ b/flintfield/coordination/storage/opening.py
@@ -1,4 +1,4 @@
-"""Opening a store: recovery, then a snapshot of what was found, so that all of it is durable for certain."""
+"""Opens a store: recovers its content, then writes a snapshot so that all of the content is durable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from flintfield.coordination.storage.pool import FilePool
 from flintfield.coordination.storage.recovery import recover
 from flintfield.coordination.storage.ring import Ring
-from flintfield.coordination.storage.store import RingStore, Tools
+from flintfield.coordination.storage.store import RingStore, StoreDependencies
 from flintfield.coordination.storage.sync_thread import SyncThread
 
 logger = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 
 
 def draw_life() -> int:
-    """A random number that tells one use of a file from all others; never 0."""
+    """Return a random number that identifies one use of a file; never 0."""
     return int.from_bytes(os.urandom(8), "little") | 1
 
 
@@ -32,31 +32,33 @@
     limit_bytes: int,
     disk: Disk = _OS_DISK,
     *,
-    tools: Tools | None = None,
+    dependencies: StoreDependencies | None = None,
     draw: Callable[[], int] = draw_life,
 ) -> RingStore:
-    """Open the store in that folder; its files take at most that many bytes. Blocks: call it before the loop.
+    """Open the store in `directory`; its files use at most `limit_bytes`. Blocks: call before the loop runs.
 
-    What was found is written anew and synced before this returns, because a process that was killed may have
-    left changes that can be read but are not on disk. If the disk refuses, the store is returned nevertheless
-    and tries on once the loop runs: `await store.durable(0)` before acting upon `items`; it mostly returns at
-    once. Raises `StorageError` if the folder can't be read.
+    The recovered content is written again and synced before this returns, because a killed process may have
+    left changes in the page cache that can be read but are not on disk. If that write fails, the store is
+    returned anyway and retries once the loop runs: `await store.durable(0)` before acting on `items`; it
+    usually returns immediately. Raises `StorageError` if the directory can't be read.
     """
     try:
-        found = recover(disk, directory)
+        recovered = recover(disk, directory)
     except OSError as error:
-        raise StorageError(f"{directory} can't be read: {error}") from error
-    items = found.items if found.items is not None else {}
-    ring = Ring(FilePool(disk, directory, limit_bytes), found, draw)
+        raise StorageError(f"cannot read the storage directory {directory}: {error}") from error
+    items = recovered.items if recovered.items is not None else {}
+    ring = Ring(FilePool(disk, directory, limit_bytes), recovered, draw)
     try:
         ring.rebase(items.items())
     except OSError as error:
-        logger.warning("storage: the store can't be written yet: %s", error)
-    return RingStore(ring, items, found.items is None, limit_bytes, tools or _default_tools())
+        logger.warning("storage: writing the initial snapshot failed, will retry: %s", error)
+    return RingStore(
+        ring, items, recovered.items is None, limit_bytes, dependencies or _default_dependencies()
+    )
 
 
-def _default_tools() -> Tools:
-    def call_later(pause_s: float, action: Callable[[], None]) -> object:
-        return asyncio.get_running_loop().call_later(pause_s, action)
+def _default_dependencies() -> StoreDependencies:
+    def call_later(pause_s: float, callback: Callable[[], None]) -> object:
+        return asyncio.get_running_loop().call_later(pause_s, callback)
 
-    return Tools(SyncThread(), call_later, time.monotonic, random.Random())
+    return StoreDependencies(SyncThread(), call_later, time.monotonic, random.Random())
--- a/flintfield/coordination/storage/recovery.py
+++ b/flintfield/coordination/storage/recovery.py
@@ -1,10 +1,10 @@
-"""Reads the ring back: the state after the newest chain of segments that begins with a complete snapshot.
+"""Recovery: replays the newest chain of segments that starts with a complete snapshot.
 
-A replay begins at a segment whose header says that a snapshot starts there, and follows the chain through
-the segments that continue it. Its state counts only if the frame that ends the snapshot is met; otherwise
-the snapshot never became durable, and the one before it rules. A chain with a higher sequence number holds
-everything that was acknowledged under lower ones, because nothing is acknowledged on a chain until its
-snapshot is durable, and no file of the older chain is overwritten until then.
+A replay starts at a segment whose header marks the start of a snapshot, and continues through the segments
+that follow it in the chain. Its result is valid only if it reaches the frame that ends the snapshot;
+otherwise the snapshot never became durable, and the previous one is used. A chain with a higher sequence
+number contains every change acknowledged on chains with lower ones, because no change is acknowledged on a
+chain until its snapshot is durable, and no file of the older chain is overwritten until then.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundFile:
-    """A file of the ring; `header` is None where it holds no segment."""
+    """A file of the ring; `header` is None if the file contains no valid segment header."""
 
     number: int
     size: int
@@ -37,13 +37,13 @@
 
     @property
     def sequence(self) -> int:
-        """The segment's, or 0."""
+        """The sequence number of the segment, or 0 without a header."""
         return self.header.sequence if self.header is not None else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """What was found. `items` is None if no chain is complete; `in_use` numbers the files that hold it."""
+    """Recovered content. `items` is None if no chain is complete; `in_use`: the file numbers of the chain."""
 
     items: dict[bytes, bytes] | None
     in_use: frozenset[int]
@@ -52,31 +52,31 @@
 
 
 def file_name(number: int) -> str:
-    """The name of a file of the ring."""
+    """Return the name of a file of the ring."""
     return f"ring-{number:04d}"
 
 
 def recover(disk: Disk, directory: str) -> Recovered:
-    """Read the ring in that folder. Raises `OSError` if it can't be read: its content is then unknown."""
-    files = [_look(disk, directory, number) for number in _numbers(disk, directory)]
-    used = [file for file in files if file.header is not None]
-    last_sequence = max((file.sequence for file in used), default=0)
-    starts = [file for file in used if file.header and file.header.flags & SegmentFlag.SNAPSHOT_STARTS]
+    """Read the ring in `directory`. Raises `OSError` if it can't be read; its content is then unknown."""
+    files = [_read_header(disk, directory, number) for number in _file_numbers(disk, directory)]
+    segments = [file for file in files if file.header is not None]
+    last_sequence = max((file.sequence for file in segments), default=0)
+    starts = [file for file in segments if file.header and file.header.flags & SegmentFlag.SNAPSHOT_STARTS]
     starts.sort(key=lambda file: file.sequence, reverse=True)
     for start in starts:
-        replayed = _replay(disk, directory, start, used)
+        replayed = _replay(disk, directory, start, segments)
         if replayed is not None:
             items, in_use = replayed
             return Recovered(items, frozenset(in_use), files, last_sequence)
     return Recovered(None, frozenset(), files, last_sequence)
 
 
-def _numbers(disk: Disk, directory: str) -> list[int]:
+def _file_numbers(disk: Disk, directory: str) -> list[int]:
     matches = (NAME.fullmatch(name) for name in disk.names(directory))
     return sorted(int(match.group(1)) for match in matches if match)
 
 
-def _look(disk: Disk, directory: str, number: int) -> FoundFile:
+def _read_header(disk: Disk, directory: str, number: int) -> FoundFile:
     file = disk.open(os.path.join(directory, file_name(number)))
     try:
         decoded = decode_segment(file.read(0, SEGMENT_HEADER_BYTES))
@@ -88,7 +88,7 @@
     return FoundFile(number, size, *decoded)
 
 
-def _read(disk: Disk, directory: str, found: FoundFile) -> bytes:
+def _read_file(disk: Disk, directory: str, found: FoundFile) -> bytes:
     file = disk.open(os.path.join(directory, file_name(found.number)))
     try:
         return file.read(0, found.size)
@@ -97,9 +97,9 @@
 
 
 def _replay(
-    disk: Disk, directory: str, start: FoundFile, used: list[FoundFile]
+    disk: Disk, directory: str, start: FoundFile, segments: list[FoundFile]
 ) -> tuple[dict[bytes, bytes], list[int]] | None:
-    """The state of the chain that begins there and its files; None if its snapshot has no end."""
+    """Return the content and file numbers of the chain at `start`; None if its snapshot is incomplete."""
     items: dict[bytes, bytes] = {}
     complete = False
     in_use = []
@@ -107,7 +107,7 @@
     while segment is not None and segment.header is not None:
         in_use.append(segment.number)
         chain = segment.chain
-        for frame in decode_frames(_read(disk, directory, segment), segment.header.life, chain):
+        for frame in decode_frames(_read_file(disk, directory, segment), segment.header.life, chain):
             for key, value in frame.entries:
                 if value is None:
                     items.pop(key, None)
@@ -115,12 +115,12 @@
                     items[key] = value
             complete = complete or bool(frame.flags & FrameFlag.SNAPSHOT_ENDS)
             chain = frame.chain
-        segment = _successor(segment.header, chain, used)
+        segment = _successor(segment.header, chain, segments)
     return (items, in_use) if complete else None
 
 
-def _successor(header: SegmentHeader, chain: int, used: list[FoundFile]) -> FoundFile | None:
-    for file in used:
+def _successor(header: SegmentHeader, chain: int, segments: list[FoundFile]) -> FoundFile | None:
+    for file in segments:
         candidate = file.header
         if (
             candidate is not None
--- a/tests/system/test_storage_disk.py
+++ b/tests/system/test_storage_disk.py
@@ -1,10 +1,9 @@
-"""A simulated disk for the tests of the store, and what it promises itself.
+"""A simulated disk for the tests of the store, and tests of that simulation.
 
-The disk keeps for each file what is durable and the writes since its last sync. A loss of power keeps,
-drops or tears each of those writes independently and in any order, and may lose the name of a file that
-was never synced. A sync that fails is final for its descriptor: what it should have written is then
-there, missing or torn, and no later sync of another descriptor writes it, though reads still show it (as
-Linux does).
+For each file the disk records the durable content and the writes since the last sync. A power loss keeps,
+drops or tears each of those writes independently and in any order, and may lose the name of a file that was
+never synced. A descriptor is unusable after a failed sync: the data of that sync may be durable, missing or
+torn, and no later sync through another descriptor writes it, although reads still return it (as on Linux).
 """
 
 from __future__ import annotations
@@ -18,56 +17,60 @@
 
 
 class PowerCut(BaseException):
-    """The process ended within a call; nothing after it happens."""
+    """Raised to end the simulated process within a disk call; no later call has an effect."""
 
 
 @dataclass(frozen=True)
 class Write:
-    """A write that no sync has covered."""
+    """A write that isn't synced yet."""
 
     offset: int
     data: bytes
 
 
 Survival = Callable[[Write], list[Write]]
-"""What is left of a write after a loss of power."""
+"""Returns the parts of a write that survive a power loss."""
 
 
-def kept(write: Write) -> list[Write]:
-    """All of it."""
+def keep_all(write: Write) -> list[Write]:
+    """The whole write survives."""
     return [write]
 
 
-def lost(_write: Write) -> list[Write]:
-    """Nothing."""
+def drop_all(_write: Write) -> list[Write]:
+    """No part of the write survives."""
     return []
 
 
 def first_bytes(write: Write, count: int) -> Write:
-    """Its beginning."""
+    """Return a write of only the first `count` bytes."""
     return Write(write.offset, write.data[:count])
 
 
-def by_chance(chance: random.Random) -> Survival:
-    """Kept, lost, or torn: some blocks of 16 bytes are there."""
+def random_survival(rng: random.Random) -> Survival:
+    """Draw an outcome for each write: kept, lost, truncated, or torn into blocks of 16 bytes."""
 
     def survive(write: Write) -> list[Write]:
-        case = chance.randrange(4)
-        if case == 0:
+        outcome = rng.randrange(4)
+        if outcome == 0:
             return [write]
-        if case == 1:
+        if outcome == 1:
             return []
-        if case == 2:
-            return [first_bytes(write, chance.randint(0, len(write.data)))]
+        if outcome == 2:
+            return [first_bytes(write, rng.randint(0, len(write.data)))]
         blocks = range(0, len(write.data), 16)
-        return [Write(write.offset + at, write.data[at : at + 16]) for at in blocks if chance.random() < 0.5]
+        return [
+            Write(write.offset + offset, write.data[offset : offset + 16])
+            for offset in blocks
+            if rng.random() < 0.5
+        ]
 
     return survive
 
 
 @dataclass
 class Inode:
-    """The content of a file: durable, as it is read, and the writes between the two."""
+    """The content of a file: durable bytes, cached bytes (which reads return) and unsynced writes."""
 
     durable: bytearray = field(default_factory=bytearray)
     cache: bytearray = field(default_factory=bytearray)
@@ -75,12 +78,12 @@
     name_durable: bool = False
 
     def copy(self) -> Inode:
-        """A deep copy."""
+        """Return a deep copy."""
         return Inode(bytearray(self.durable), bytearray(self.cache), list(self.unsynced), self.name_durable)
 
 
-def put(content: bytearray, write: Write) -> None:
-    """Write into a content, with zeros in a gap before it."""
+def apply_write(content: bytearray, write: Write) -> None:
+    """Apply a write to `content`; a gap before it is filled with zeros."""
     if not write.data:
         return
     end = write.offset + len(write.data)
@@ -90,7 +93,7 @@
 
 
 class SimulatedFile:
-    """A descriptor."""
+    """A simulated file descriptor."""
 
     def __init__(self, disk: SimulatedDisk, inode: Inode) -> None:
         self._disk = disk
@@ -99,119 +102,123 @@
         self._closed = False
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """The length of the file in bytes."""
         self._disk.step()
         return len(self._inode.cache)
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to that many bytes."""
+        """Read up to `length` bytes."""
         self._disk.step()
         return bytes(self._inode.cache[offset : offset + length])
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write, or refuse after a part of it."""
-        assert not self._closed and not self._failed, "a descriptor whose sync failed is written to"
+        """Write the data; if the disk rejects writes, write a random prefix and raise."""
+        assert not self._closed and not self._failed, (
+            "write to a descriptor that is closed or whose sync failed"
+        )
         self._disk.step()
-        if self._disk.refuses_writes:
-            part = self._disk.chance.randint(0, len(data))
-            self._put(Write(offset, data[:part]))
-            raise OSError(errno.ENOSPC, "the disk takes no more bytes")
-        self._put(Write(offset, data))
+        if self._disk.rejects_writes:
+            part = self._disk.rng.randint(0, len(data))
+            self._write_cache(Write(offset, data[:part]))
+            raise OSError(errno.ENOSPC, "the simulated disk rejects writes")
+        self._write_cache(Write(offset, data))
 
     def sync_data(self) -> None:
-        """`fdatasync`; the simulated disk doesn't need to know a new length apart."""
+        """Simulate `fdatasync`; the same as `fsync` here, because the length isn't tracked separately."""
         self.sync_all()
 
     def sync_all(self) -> None:
-        """`fsync`."""
-        assert not self._closed and not self._failed, "a descriptor whose sync failed is synced again"
+        """Simulate `fsync`."""
+        assert not self._closed and not self._failed, (
+            "sync of a descriptor that is closed or whose sync failed"
+        )
         self._disk.step()
         self._disk.syncs += 1
         inode = self._inode
         writes, inode.unsynced = inode.unsynced, []
-        if self._disk.failing_syncs > 0:
-            self._disk.failing_syncs -= 1
+        if self._disk.syncs_to_fail > 0:
+            self._disk.syncs_to_fail -= 1
             self._failed = True
-            survive = by_chance(self._disk.chance)
+            survive = random_survival(self._disk.rng)
             for write in writes:
                 for part in survive(write):
-                    put(inode.durable, part)
-            self._disk.changed()
-            raise OSError(errno.EIO, "the sync failed")
+                    apply_write(inode.durable, part)
+            self._disk.notify_change()
+            raise OSError(errno.EIO, "the simulated sync failed")
         for write in writes:
-            put(inode.durable, write)
+            apply_write(inode.durable, write)
         inode.name_durable = True
-        self._disk.changed()
+        self._disk.notify_change()
 
     def close(self) -> None:
-        """Close it."""
+        """Close the file."""
         self._closed = True
 
-    def _put(self, write: Write) -> None:
-        put(self._inode.cache, write)
+    def _write_cache(self, write: Write) -> None:
+        apply_write(self._inode.cache, write)
         self._inode.unsynced.append(write)
-        self._disk.changed()
+        self._disk.notify_change()
 
 
 class SimulatedDisk:
-    """One folder. `on_change` is called after each write and sync."""
+    """A disk with one directory. `on_change` is called after each write and sync."""
 
     def __init__(self, seed: int = 0) -> None:
         self.inodes: dict[str, Inode] = {}
-        self.chance = random.Random(seed)
-        self.refuses_writes = False
-        self.failing_syncs = 0
+        self.rng = random.Random(seed)
+        self.rejects_writes = False
+        self.syncs_to_fail = 0
         self.syncs = 0
         self.steps_until_cut: int | None = None
         self.on_change: Callable[[], None] | None = None
 
     def names(self, directory: str) -> list[str]:
-        """The names in the folder."""
+        """The file names in the directory."""
         self.step()
         return list(self.inodes)
 
     def open(self, path: str) -> SimulatedFile:
-        """Open a file; it is created, empty, if it's missing."""
+        """Open a file; it is created empty if it doesn't exist."""
         self.step()
         inode = self.inodes.setdefault(os.path.basename(path), Inode())
         return SimulatedFile(self, inode)
 
     def sync_directory(self, directory: str) -> None:
-        """Return once the names are durable."""
+        """Make the file names durable."""
         self.step()
         self.syncs += 1
-        if self.failing_syncs > 0:
-            self.failing_syncs -= 1
-            raise OSError(errno.EIO, "the sync failed")
+        if self.syncs_to_fail > 0:
+            self.syncs_to_fail -= 1
+            raise OSError(errno.EIO, "the simulated sync failed")
         for inode in self.inodes.values():
             inode.name_durable = True
-        self.changed()
+        self.notify_change()
 
     def step(self) -> None:
-        """Count a call; raises `PowerCut` when its time has come, and ever after."""
+        """Count a disk call; raises `PowerCut` on every call after the next `steps_until_cut`."""
         if self.steps_until_cut is not None:
             if self.steps_until_cut <= 0:
                 raise PowerCut
             self.steps_until_cut -= 1
 
-    def changed(self) -> None:
-        """Let the test look at the disk."""
+    def notify_change(self) -> None:
+        """Call the `on_change` callback of the test."""
         if self.on_change is not None:
             self.on_change()
 
     def total_bytes(self) -> int:
-        """The length of all files."""
+        """The total length of all files."""
         return sum(len(inode.cache) for inode in self.inodes.values())
 
     def unsynced(self) -> list[Write]:
-        """All writes that a loss of power may drop, oldest first in each file."""
+        """All writes that a power loss may drop, oldest first in each file."""
         return [write for inode in self.inodes.values() for write in inode.unsynced]
 
     def after_kill(self) -> SimulatedDisk:
-        """The disk as the next process finds it; nothing is lost, nothing is synced."""
-        following = SimulatedDisk(self.chance.getrandbits(32))
-        following.inodes = {name: inode.copy() for name, inode in self.inodes.items()}
-        return following
+        """Return the disk as the next process sees it after a kill: no write is lost, and none is synced."""
+        next_disk = SimulatedDisk(self.rng.getrandbits(32))
+        next_disk.inodes = {name: inode.copy() for name, inode in self.inodes.items()}
+        return next_disk
 
     def after_power_loss(
         self,
@@ -219,8 +226,8 @@
         keep_name: Callable[[], bool] = lambda: True,
         shuffle: Callable[[list[Write]], None] = lambda writes: None,
     ) -> SimulatedDisk:
-        """The disk after a loss of power."""
-        following = SimulatedDisk(self.chance.getrandbits(32))
+        """Return the disk as the next process sees it after a power loss."""
+        next_disk = SimulatedDisk(self.rng.getrandbits(32))
         for name, inode in self.inodes.items():
             if not inode.name_durable and not keep_name():
                 continue
@@ -229,19 +236,19 @@
             shuffle(writes)
             for write in writes:
                 for part in survive(write):
-                    put(content, part)
-            following.inodes[name] = Inode(content, bytearray(content), [], True)
-        return following
+                    apply_write(content, part)
+            next_disk.inodes[name] = Inode(content, bytearray(content), [], True)
+        return next_disk
 
     def after_random_power_loss(self) -> SimulatedDisk:
-        """A loss of power where chance decides on each write and name; at times all of them go."""
-        chance = random.Random(self.chance.getrandbits(32))
-        survive = lost if chance.random() < 0.25 else by_chance(chance)
-        return self.after_power_loss(survive, lambda: chance.random() < 0.5, chance.shuffle)
+        """Power loss with a random outcome per write and name; with probability 1/4 every write is lost."""
+        rng = random.Random(self.rng.getrandbits(32))
+        survive = drop_all if rng.random() < 0.25 else random_survival(rng)
+        return self.after_power_loss(survive, lambda: rng.random() < 0.5, rng.shuffle)
 
 
 class SimulatedDiskTest(unittest.TestCase):
-    """The disk does what the tests of the store count on."""
+    """Tests of the simulated behavior that the tests of the store depend on."""
 
     def setUp(self) -> None:
         self.disk = SimulatedDisk()
@@ -250,12 +257,12 @@
     def content(self, disk: SimulatedDisk) -> bytes:
         return bytes(disk.inodes["name"].cache)
 
-    def test_synced_bytes_outlast_a_loss_of_power_and_later_ones_may_not(self) -> None:
+    def test_synced_bytes_survive_a_power_loss_and_unsynced_bytes_may_be_lost(self) -> None:
         self.file.write(0, b"abcdef")
         self.file.sync_data()
         self.file.write(0, b"XYZ")
-        self.assertEqual(self.content(self.disk.after_power_loss(lost)), b"abcdef")
-        self.assertEqual(self.content(self.disk.after_power_loss(kept)), b"XYZdef")
+        self.assertEqual(self.content(self.disk.after_power_loss(drop_all)), b"abcdef")
+        self.assertEqual(self.content(self.disk.after_power_loss(keep_all)), b"XYZdef")
         torn = self.disk.after_power_loss(lambda write: [first_bytes(write, 1)])
         self.assertEqual(self.content(torn), b"Xbcdef")
 
@@ -263,29 +270,29 @@
         self.file.write(0, b"abc")
         self.assertEqual(self.content(self.disk.after_kill()), b"abc")
 
-    def test_the_name_of_a_file_that_was_never_synced_may_go(self) -> None:
+    def test_the_name_of_an_unsynced_file_may_be_lost(self) -> None:
         self.file.write(0, b"abc")
-        self.assertEqual(self.disk.after_power_loss(kept, lambda: False).inodes, {})
+        self.assertEqual(self.disk.after_power_loss(keep_all, lambda: False).inodes, {})
         self.file.sync_data()
-        self.assertIn("name", self.disk.after_power_loss(kept, lambda: False).inodes)
+        self.assertIn("name", self.disk.after_power_loss(keep_all, lambda: False).inodes)
 
-    def test_what_a_failed_sync_did_not_write_is_never_written(self) -> None:
-        self.disk.chance = random.Random(1)
+    def test_a_later_sync_does_not_write_the_data_of_a_failed_sync(self) -> None:
+        self.disk.rng = random.Random(1)
         self.file.write(0, b"0123456789abcdef" * 8)
-        self.disk.failing_syncs = 1
+        self.disk.syncs_to_fail = 1
         with self.assertRaises(OSError):
             self.file.sync_data()
         self.disk.open("folder/name").sync_data()
         self.assertEqual(self.content(self.disk.after_kill()), b"0123456789abcdef" * 8)
-        self.assertNotEqual(self.content(self.disk.after_power_loss(kept)), b"0123456789abcdef" * 8)
+        self.assertNotEqual(self.content(self.disk.after_power_loss(keep_all)), b"0123456789abcdef" * 8)
 
-    def test_a_disk_that_refuses_may_take_a_part(self) -> None:
-        self.disk.refuses_writes = True
+    def test_a_rejected_write_may_write_a_prefix(self) -> None:
+        self.disk.rejects_writes = True
         with self.assertRaises(OSError):
             self.file.write(0, b"abc")
         self.assertTrue(b"abc".startswith(self.content(self.disk)))
 
-    def test_nothing_happens_after_a_cut(self) -> None:
+    def test_calls_after_a_power_cut_have_no_effect(self) -> None:
         self.disk.steps_until_cut = 1
         self.file.write(0, b"abc")
         with self.assertRaises(PowerCut):
--- a/tests/system/test_storage_recovery.py
+++ b/tests/system/test_storage_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: nothing acknowledged is lost and no group comes back by half, whatever a loss of power leaves."""
+"""Recovery after any power loss: no acknowledged change is lost, and no group is partially recovered."""
 
 from __future__ import annotations
 
@@ -23,93 +23,101 @@
 )
 from flintfield.coordination.storage.recovery import recover
 from flintfield.coordination.storage.store import RingStore
-from .test_storage_disk import PowerCut, SimulatedDisk, Survival, Write, first_bytes, kept, lost
-from .test_storage_steps import FOLDER, SMALL_LIMIT, History, Stepped
+from .test_storage_disk import PowerCut, SimulatedDisk, Survival, Write, drop_all, first_bytes, keep_all
+from .test_storage_steps import FOLDER, SMALL_LIMIT, History, StoreHarness
 
-MOST_SUBSETS = 6  # unsynced writes of which every subset is tried
+MAX_EXHAUSTIVE_WRITES = 6  # every subset is tried of this many of the newest unsynced writes
 
 
 def survivals(writes: list[Write], cut_step: int) -> Iterator[Survival]:
-    """Every subset of the writes; the last one also cut at every so many bytes."""
-    places = {id(write): at for at, write in enumerate(writes)}
+    """Yield every subset of the writes; also truncate the last write, if included, every `cut_step` bytes."""
+    indexes = {id(write): index for index, write in enumerate(writes)}
     for flags in itertools.product((False, True), repeat=len(writes)):
-        last = max((at for at, flag in enumerate(flags) if flag), default=None)
-        cuts: list[int | None] = [None]
+        last = max((index for index, flag in enumerate(flags) if flag), default=None)
+        truncations: list[int | None] = [None]
         if last == len(writes) - 1:
-            cuts += range(1, len(writes[last].data), cut_step)
-        for cut in cuts:
+            truncations += range(1, len(writes[last].data), cut_step)
+        for truncate_at in truncations:
 
             def survive(
-                write: Write, flags: tuple[bool, ...] = flags, cut: int | None = cut, last: int | None = last
+                write: Write,
+                flags: tuple[bool, ...] = flags,
+                truncate_at: int | None = truncate_at,
+                last: int | None = last,
             ) -> list[Write]:
-                at = places[id(write)]
-                if not flags[at]:
+                index = indexes[id(write)]
+                if not flags[index]:
                     return []
-                return [first_bytes(write, cut) if cut is not None and at == last else write]
+                return [
+                    first_bytes(write, truncate_at) if truncate_at is not None and index == last else write
+                ]
 
             yield survive
 
 
-def always() -> bool:
-    """Keep the name."""
+def keep_name_always() -> bool:
+    """Keep the file name."""
     return True
 
 
-def never() -> bool:
-    """Lose the name."""
+def lose_name_always() -> bool:
+    """Lose the file name."""
     return False
 
 
 class ExhaustiveCutTest(unittest.IsolatedAsyncioTestCase):
     """Power is lost after every write and sync of a run.
 
-    Every subset of the unsynced writes is tried, with the newest one cut at every byte.
+    Every subset of the newest unsynced writes is tried, also with the last one truncated every `cut_step`
+    bytes (by default at every byte).
     """
 
-    async def run_with_cuts(self, groups: list[list[Change]], gather: int = 1, cut_step: int = 1) -> Stepped:
-        """Apply the groups, so many for each round, and try all losses of power on the way."""
-        stepped = Stepped(SimulatedDisk())
+    async def run_with_cuts(
+        self, groups: list[list[Change]], groups_per_round: int = 1, cut_step: int = 1
+    ) -> StoreHarness:
+        """Apply `groups_per_round` groups per round; try all power losses after each write and sync."""
+        harness = StoreHarness(SimulatedDisk())
         history = History()
-        history.add({})  # the store that the open formats
+        history.add({})  # the state after the open formats the store
         store: RingStore | None = None
         acknowledged = 0
         self.tried = 0
 
         def lose_power() -> None:
             if store is not None:
-                history.durable(1 + max(acknowledged, store.durable_ticket))
-            writes = stepped.disk.unsynced()
-            recent = writes[-MOST_SUBSETS:]
-            older = {id(write) for write in writes[:-MOST_SUBSETS]}
-            named = all(inode.name_durable for inode in stepped.disk.inodes.values())
-            keep_names = [always] if named else [always, never]
+                history.mark_durable(1 + max(acknowledged, store.durable_ticket))
+            writes = harness.disk.unsynced()
+            recent = writes[-MAX_EXHAUSTIVE_WRITES:]
+            older = {id(write) for write in writes[:-MAX_EXHAUSTIVE_WRITES]}
+            names_durable = all(inode.name_durable for inode in harness.disk.inodes.values())
+            keep_names = [keep_name_always] if names_durable else [keep_name_always, lose_name_always]
             for survive in survivals(recent, cut_step):
 
                 def all_survive(write: Write, survive: Survival = survive) -> list[Write]:
                     return [write] if id(write) in older else survive(write)
 
                 for keep_name in keep_names:
-                    disk = stepped.disk.after_power_loss(all_survive, keep_name)
+                    disk = harness.disk.after_power_loss(all_survive, keep_name)
                     found = recover(disk, FOLDER)
                     self.tried += 1
-                    allowed = history.states[history.oldest :]
+                    allowed = history.states[history.oldest_allowed :]
                     self.assertTrue(history.allows(found.items), (found.items, allowed))
 
-        stepped.disk.on_change = lose_power
-        store = stepped.open()
+        harness.disk.on_change = lose_power
+        store = harness.open()
         self.assertEqual(store.durable_ticket, 0)
-        for at in range(0, len(groups), gather):
-            for group in groups[at : at + gather]:
+        for index in range(0, len(groups), groups_per_round):
+            for group in groups[index : index + groups_per_round]:
                 store.apply(group)
                 history.add(dict(store.items))
-            await stepped.settle()
+            await harness.run_until_idle()
             acknowledged = store.durable_ticket
-            self.assertEqual(acknowledged, min(at + gather, len(groups)))
+            self.assertEqual(acknowledged, min(index + groups_per_round, len(groups)))
         self.store = store
-        return stepped
+        return harness
 
     async def test_single_changes(self) -> None:
-        await self.run_with_cuts([[(b"key%d" % (at % 3), b"value %d" % at)] for at in range(8)])
+        await self.run_with_cuts([[(b"key%d" % (index % 3), b"value %d" % index)] for index in range(8)])
         self.assertGreater(self.tried, 1_000)
 
     async def test_groups_with_deletes(self) -> None:
@@ -119,102 +127,102 @@
             [(b"a", b"3"), (b"c", None)],
             [(b"a", None), (b"b", None)],
         ]
-        await self.run_with_cuts(groups, gather=2)
+        await self.run_with_cuts(groups, groups_per_round=2)
 
     async def test_a_group_that_is_larger_than_a_file(self) -> None:
-        large: list[Change] = [(b"key%02d" % at, b"v" * 20) for at in range(20)]
+        large: list[Change] = [(b"key%02d" % index, b"v" * 20) for index in range(20)]
         changed: list[Change] = [(key, b"w" * 20) for key, _ in large]
         await self.run_with_cuts([large, [(b"one", b"more")], changed])
 
     async def test_wrap_around_with_compaction(self) -> None:
-        chance = random.Random(3)
+        rng = random.Random(3)
         groups: list[list[Change]] = [
-            [(b"key%02d" % chance.randrange(40), b"%03d" % at * chance.randrange(11)) for _ in range(2)]
-            for at in range(400)
+            [(b"key%02d" % rng.randrange(40), b"%03d" % index * rng.randrange(11)) for _ in range(2)]
+            for index in range(400)
         ]
-        stepped = await self.run_with_cuts(groups, cut_step=17)
+        harness = await self.run_with_cuts(groups, cut_step=17)
         self.assertGreater(self.store.counters.compactions, 2)
-        self.assertLessEqual(stepped.disk.total_bytes(), SMALL_LIMIT)
-        self.assertGreater(self.store.ring.pool.counters.written_bytes, 2 * stepped.disk.total_bytes())
+        self.assertLessEqual(harness.disk.total_bytes(), SMALL_LIMIT)
+        self.assertGreater(self.store.ring.pool.counters.written_bytes, 2 * harness.disk.total_bytes())
 
 
 class FailedAttemptsTest(unittest.IsolatedAsyncioTestCase):
-    """While the disk fails again and again, what was acknowledged stays where it is."""
+    """Acknowledged changes survive while the disk fails repeatedly."""
 
-    async def fail_often(self, fail: Callable[[SimulatedDisk], None]) -> None:
-        stepped = Stepped(SimulatedDisk())
-        store = stepped.open()
+    async def run_with_failures(self, fail: Callable[[SimulatedDisk], None]) -> None:
+        harness = StoreHarness(SimulatedDisk())
+        store = harness.open()
         acknowledged: list[dict[bytes, bytes]] = []
-        for at in range(20):
-            store.apply([(b"key%d" % at, b"v" * 30)])
-            await stepped.settle()
+        for index in range(20):
+            store.apply([(b"key%d" % index, b"v" * 30)])
+            await harness.run_until_idle()
         acknowledged.append(dict(store.items))
         self.assertEqual(store.durable_ticket, 20)
 
         def lose_power() -> None:
-            for survive in (lost, kept):
-                items = recover(stepped.disk.after_power_loss(survive), FOLDER).items
+            for survive in (drop_all, keep_all):
+                items = recover(harness.disk.after_power_loss(survive), FOLDER).items
                 self.assertIsNotNone(items)
                 self.assertLessEqual(acknowledged[0].items(), (items or {}).items())
 
-        stepped.disk.on_change = lose_power
-        for at in range(40):
-            fail(stepped.disk)
-            store.apply([(b"more%d" % at, b"w" * 10)])
-            await stepped.settle()
+        harness.disk.on_change = lose_power
+        for index in range(40):
+            fail(harness.disk)
+            store.apply([(b"more%d" % index, b"w" * 10)])
+            await harness.run_until_idle()
             self.assertEqual(store.durable_ticket, 20)
-            stepped.fire()
+            harness.fire_timer()
             await asyncio.sleep(0)
 
     async def test_syncs_fail(self) -> None:
         def fail(disk: SimulatedDisk) -> None:
-            disk.failing_syncs = 1
+            disk.syncs_to_fail = 1
 
-        await self.fail_often(fail)
+        await self.run_with_failures(fail)
 
     async def test_writes_are_refused(self) -> None:
         def fail(disk: SimulatedDisk) -> None:
-            disk.refuses_writes = True
+            disk.rejects_writes = True
 
-        await self.fail_often(fail)
+        await self.run_with_failures(fail)
 
 
 class DamageTest(unittest.IsolatedAsyncioTestCase):
-    """Nothing beyond a record that can't be read is taken, however valid it looks by itself."""
+    """Recovery ignores everything after an invalid record, even records that are valid by themselves."""
 
-    async def test_a_segment_is_not_the_successor_of_one_that_ends_early(self) -> None:
-        stepped = Stepped(SimulatedDisk())
-        store = stepped.open()
+    async def test_a_segment_after_a_damaged_one_is_not_replayed(self) -> None:
+        harness = StoreHarness(SimulatedDisk())
+        store = harness.open()
         states: list[dict[bytes, bytes]] = [{}]
-        for at in range(20):
-            store.apply([(b"key%d" % at, b"v" * 30)])
+        for index in range(20):
+            store.apply([(b"key%d" % index, b"v" * 30)])
             states.append(dict(store.items))
-            await stepped.settle()
-        for name, inode in stepped.disk.inodes.items():
-            for place in range(0, len(inode.cache), 7):
-                damaged = stepped.disk.after_kill()
-                damaged.inodes[name].cache[place] ^= 0x10
+            await harness.run_until_idle()
+        for name, inode in harness.disk.inodes.items():
+            for byte_index in range(0, len(inode.cache), 7):
+                damaged = harness.disk.after_kill()
+                damaged.inodes[name].cache[byte_index] ^= 0x10
                 items = recover(damaged, FOLDER).items
                 self.assertTrue(items is None or items in states)
 
     def test_a_frame_of_another_life_ends_the_segment(self) -> None:
         header, chain = encode_segment(SegmentHeader(1, 5, 0, 0, SegmentFlag.SNAPSHOT_STARTS))
         frame, _ = encode_frame([(b"a", b"1")], FrameFlag.NONE, 5, chain)
-        stale, _ = encode_frame([(b"a", b"1")], FrameFlag.NONE, 6, chain)
+        stale_frame, _ = encode_frame([(b"a", b"1")], FrameFlag.NONE, 6, chain)
         self.assertEqual(len(list(decode_frames(header + frame, 5, chain))), 1)
-        self.assertEqual(len(list(decode_frames(header + stale, 5, chain))), 0)
+        self.assertEqual(len(list(decode_frames(header + stale_frame, 5, chain))), 0)
 
-    def test_a_log_that_failed_takes_no_more_frames(self) -> None:
+    def test_a_failed_log_rejects_frames_until_it_is_rebased(self) -> None:
         disk = SimulatedDisk()
-        ring = Stepped(disk).open().ring
-        disk.failing_syncs = 1
+        ring = StoreHarness(disk).open().ring
+        disk.syncs_to_fail = 1
         with self.assertRaises(OSError):
             ring.append([(b"a", b"1")], 10, FrameFlag.NONE, False)
         with self.assertRaises(OSError):
             ring.append([(b"a", b"1")], 10, FrameFlag.NONE, False)
         ring.rebase([(b"a", b"1")])
         ring.append([(b"b", b"1")], 10, FrameFlag.NONE, False)
-        items = recover(disk.after_power_loss(lost), FOLDER).items
+        items = recover(disk.after_power_loss(drop_all), FOLDER).items
         self.assertEqual(items, {b"a": b"1", b"b": b"1"})
 
 
@@ -248,43 +256,43 @@
 
 
 class RandomRun:
-    """One run of random actions against the model."""
+    """Runs random actions on a store and compares it with the model of its history."""
 
     def __init__(self, test: unittest.TestCase, seed: int) -> None:
         self.test = test
-        self.chance = random.Random(seed)
-        self.stepped = Stepped(SimulatedDisk(seed))
+        self.rng = random.Random(seed)
+        self.harness = StoreHarness(SimulatedDisk(seed))
         self.history = History()
         self.open()
 
     def open(self) -> None:
-        """Open the store on the disk as it is, and check what it found."""
-        disk = self.stepped.disk
-        self.stepped = Stepped(disk, lives=self.stepped.lives)
-        self.store = self.stepped.open()
+        """Open the store on the current disk and check the recovered content."""
+        disk = self.harness.disk
+        self.harness = StoreHarness(disk, life_numbers=self.harness.life_numbers)
+        self.store = self.harness.open()
         found = None if self.store.fresh else dict(self.store.items)
-        allowed = self.history.states[self.history.oldest :]
+        allowed = self.history.states[self.history.oldest_allowed :]
         self.test.assertTrue(self.history.allows(found), (found, allowed))
-        self.first = self.history.recovered(found)
+        self.first_index = self.history.truncate_to(found)
         if found is None:
-            self.first = self.history.add({})
+            self.first_index = self.history.add({})
         self.note_durable()
 
     def note_durable(self) -> None:
-        """What is acknowledged by now."""
+        """Record the durable ticket in the model, and check the limit on disk space."""
         if self.store.durable_ticket >= 0:
-            self.history.durable(self.first + self.store.durable_ticket)
-        self.test.assertLessEqual(self.stepped.disk.total_bytes(), SMALL_LIMIT)
+            self.history.mark_durable(self.first_index + self.store.durable_ticket)
+        self.test.assertLessEqual(self.harness.disk.total_bytes(), SMALL_LIMIT)
 
     def apply(self, changes: list[Change], replaces: bool = False) -> None:
-        """Change the store and the model."""
+        """Apply the changes to the store and the model."""
         expected = dict(self.store.items)
         for key, value in changes:
             if value is None:
                 expected.pop(key, None)
             else:
                 expected[key] = value
-        before = self.first + self.store.apply([])
+        before = self.first_index + self.store.apply([])
         try:
             if replaces:
                 puts = [(key, value) for key, value in changes if value is not None]
@@ -295,85 +303,85 @@
         except StorageFull:
             return
         self.test.assertEqual(self.store.items, expected)
-        if self.first + ticket > before:
-            self.test.assertEqual(self.history.add(expected), self.first + ticket)
+        if self.first_index + ticket > before:
+            self.test.assertEqual(self.history.add(expected), self.first_index + ticket)
 
-    async def act(self, action: tuple[object, ...]) -> None:
-        """Carry out one action."""
+    async def perform(self, action: tuple[object, ...]) -> None:
+        """Perform one action."""
         match action:
             case ("apply", list() as changes):
                 self.apply(changes)
-            case ("apply many", int() as many):
-                self.apply([(b"many%02d" % at, self.chance.randbytes(30)) for at in range(many)])
+            case ("apply many", int() as count):
+                self.apply([(b"many%02d" % index, self.rng.randbytes(30)) for index in range(count)])
             case ("replace", list() as changes):
                 self.apply(changes, replaces=True)
             case ("run",):
                 await asyncio.sleep(0)
-                if self.stepped.runner.busy:
-                    self.stepped.runner.step()
+                if self.harness.runner.busy:
+                    self.harness.runner.step()
             case ("settle",):
-                await self.stepped.settle()
+                await self.harness.run_until_idle()
             case ("fire",):
-                if self.stepped.timers:
-                    self.stepped.fire()
+                if self.harness.timers:
+                    self.harness.fire_timer()
             case ("power loss",) | ("kill",) | ("power loss within a job",) | ("kill within a job",):
-                await self.end(within_job="job" in str(action[0]), power="power" in str(action[0]))
+                await self.crash(within_job="job" in str(action[0]), power="power" in str(action[0]))
             case ("fail syncs", int() as times):
-                self.stepped.disk.failing_syncs = times
+                self.harness.disk.syncs_to_fail = times
             case ("refuse",):
-                self.stepped.disk.refuses_writes = True
+                self.harness.disk.rejects_writes = True
             case ("accept",):
-                self.stepped.disk.refuses_writes = False
+                self.harness.disk.rejects_writes = False
             case ("wipe",):
-                self.stepped.disk = SimulatedDisk(self.chance.getrandbits(32))
+                self.harness.disk = SimulatedDisk(self.rng.getrandbits(32))
                 self.history = History()
                 self.open()
             case ("close",):
                 await self.close()
         self.note_durable()
 
-    async def end(self, within_job: bool, power: bool) -> None:
-        """The process ends, perhaps within a job, perhaps with the power; the store is opened again."""
+    async def crash(self, within_job: bool, power: bool) -> None:
+        """End the process by a kill or a power loss, optionally within a job, and open the store again."""
         await asyncio.sleep(0)
-        disk = self.stepped.disk
-        if within_job and self.stepped.runner.busy:
-            disk.steps_until_cut = self.chance.randrange(8)
+        disk = self.harness.disk
+        if within_job and self.harness.runner.busy:
+            disk.steps_until_cut = self.rng.randrange(8)
             with suppress(PowerCut):
-                self.stepped.runner.run()
+                self.harness.runner.run()
         self.note_durable()
-        self.stepped.disk = disk.after_random_power_loss() if power else disk.after_kill()
-        self.stepped.disk.refuses_writes = disk.refuses_writes and self.chance.random() < 0.5
+        self.harness.disk = disk.after_random_power_loss() if power else disk.after_kill()
+        self.harness.disk.rejects_writes = disk.rejects_writes and self.rng.random() < 0.5
         self.open()
 
     async def close(self) -> None:
-        """Close the store in order and open it again."""
-        self.stepped.disk.refuses_writes = False
+        """Close the store cleanly and open it again."""
+        self.harness.disk.rejects_writes = False
         closing = asyncio.ensure_future(self.store.close())
         while not closing.done():
-            await self.stepped.settle()
-            if self.stepped.timers:
-                self.stepped.fire()
+            await self.harness.run_until_idle()
+            if self.harness.timers:
+                self.harness.fire_timer()
         self.note_durable()
-        self.stepped.disk = self.stepped.disk.after_kill()
+        self.harness.disk = self.harness.disk.after_kill()
         self.open()
 
-    async def heal(self) -> None:
-        """In the end the disk is well again: everything becomes durable without a restart."""
-        self.stepped.disk.refuses_writes = False
-        self.stepped.disk.failing_syncs = 0
+    async def check_recovery(self) -> None:
+        """Check that every change becomes durable without a restart once the disk works again."""
+        self.harness.disk.rejects_writes = False
+        self.harness.disk.syncs_to_fail = 0
         ticket = self.store.apply([(b"last", b"one")])
         for _ in range(3):
-            await self.stepped.settle()
-            while self.stepped.timers:
-                self.stepped.fire()
-        await self.stepped.settle()
+            await self.harness.run_until_idle()
+            while self.harness.timers:
+                self.harness.fire_timer()
+        await self.harness.run_until_idle()
         self.test.assertEqual(self.store.durable_ticket, ticket)
-        disk = self.stepped.disk.after_power_loss(lambda write: [])
+        disk = self.harness.disk.after_power_loss(lambda write: [])
         self.test.assertEqual(recover(disk, FOLDER).items, dict(self.store.items))
 
 
 class RandomRunTest(unittest.TestCase):
-    """Random changes, failures, kills and losses of power."""
+    """Random changes, disk failures, kills and power losses."""
 
     @settings(max_examples=400)
     @given(st.lists(ACTIONS, max_size=60), st.integers(0, 1 << 32))
@@ -381,7 +389,7 @@
         async def run() -> None:
             random_run = RandomRun(self, seed)
             for action in actions:
-                await random_run.act(action)
-            await random_run.heal()
+                await random_run.perform(action)
+            await random_run.check_recovery()
 
         asyncio.run(run())
--- a/tests/system/test_storage_steps.py
+++ b/tests/system/test_storage_steps.py
@@ -1,4 +1,4 @@
-"""What the tests of the store share: a store that is driven by steps, a model of its history."""
+"""Shared test helpers: a harness that runs the jobs of a store step by step, and a model of its history."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from itertools import count
 
 from flintfield.coordination.storage.opening import open_store
-from flintfield.coordination.storage.store import RingStore, Tools
-from flintfield.coordination.storage.sync_thread import Done, Job
+from flintfield.coordination.storage.store import RingStore, StoreDependencies
+from flintfield.coordination.storage.sync_thread import DoneCallback, Job
 from .test_storage_disk import SimulatedDisk
 
 SMALL_LIMIT = 16 << 10  # bytes: a ring of files of 256 bytes
@@ -19,48 +19,48 @@
 
 
 class SteppedRunner:
-    """Holds the job until the test runs it."""
+    """A `Runner` that holds a submitted job until the test runs it."""
 
     def __init__(self) -> None:
-        self._waiting: tuple[Job, Done] | None = None
+        self._waiting_job: tuple[Job, DoneCallback] | None = None
         self.stopped = False
 
     @property
     def busy(self) -> bool:
-        """Whether a job waits."""
-        return self._waiting is not None
+        """Whether a job is waiting to be run."""
+        return self._waiting_job is not None
 
-    def submit(self, job: Job, done: Done) -> None:
-        """Hold the job."""
-        assert self._waiting is None, "two jobs at once"
-        self._waiting = (job, done)
+    def submit(self, job: Job, done: DoneCallback) -> None:
+        """Store the job until `run` or `step` is called."""
+        assert self._waiting_job is None, "a job was submitted while another is waiting"
+        self._waiting_job = (job, done)
 
     def stop(self) -> None:
-        """Nothing to stop."""
+        """Record the call."""
         self.stopped = True
 
-    def run(self) -> Done:
-        """Run the job, and return the call that tells the store; errors are told by it."""
-        assert self._waiting is not None
-        job, done = self._waiting
+    def run(self) -> DoneCallback:
+        """Run the job; returns a callback that reports the result or the error to the store."""
+        assert self._waiting_job is not None
+        job, done = self._waiting_job
         error: Exception | None = None
         try:
             job()
         except AssertionError:
-            raise  # the test's own, from within the simulated disk
+            raise  # a failed check of the simulated disk
         except Exception as raised:
             error = raised
-        self._waiting = None
+        self._waiting_job = None
         return lambda _error: done(error)
 
     def step(self) -> None:
-        """Run the job and tell the store."""
+        """Run the job and report its result to the store."""
         self.run()(None)
 
 
 @dataclass
-class Stepped:
-    """An open store and what the test drives it by."""
+class StoreHarness:
+    """A store on a simulated disk, with a runner, timers and a clock that the test controls."""
 
     disk: SimulatedDisk
     runner: SteppedRunner = field(default_factory=SteppedRunner)
@@ -68,24 +68,30 @@
     pauses: list[float] = field(default_factory=list)
     now_s: float = 0.0
     limit_bytes: int = SMALL_LIMIT
-    lives: Iterator[int] = field(default_factory=lambda: count(1))
+    life_numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
     def open(self) -> RingStore:
-        """Open the store on that disk."""
-        tools = Tools(self.runner, self._call_later, lambda: self.now_s, random.Random(0))
-        return open_store(FOLDER, self.limit_bytes, self.disk, tools=tools, draw=lambda: next(self.lives))
-
-    def _call_later(self, pause_s: float, action: Callable[[], None]) -> object:
+        """Open the store on the simulated disk."""
+        dependencies = StoreDependencies(self.runner, self._call_later, lambda: self.now_s, random.Random(0))
+        return open_store(
+            FOLDER,
+            self.limit_bytes,
+            self.disk,
+            dependencies=dependencies,
+            draw=lambda: next(self.life_numbers),
+        )
+
+    def _call_later(self, pause_s: float, callback: Callable[[], None]) -> object:
         self.pauses.append(pause_s)
-        self.timers.append(action)
+        self.timers.append(callback)
         return None
 
-    def fire(self) -> None:
-        """Let the pause end."""
+    def fire_timer(self) -> None:
+        """Run the callback of the oldest timer."""
         self.timers.pop(0)()
 
-    async def settle(self) -> None:
-        """Run jobs until the store has nothing more to do; timers are left alone."""
+    async def run_until_idle(self) -> None:
+        """Run jobs until none is waiting; timers aren't run."""
         await asyncio.sleep(0)
         while self.runner.busy:
             self.runner.step()
@@ -93,46 +99,48 @@
 
 
 class History:
-    """Every state that the store has had, and the oldest that may still come back.
+    """All states of the store, and the index of the oldest one that recovery may return.
 
-    Entry 0 is "there is no store", which an open reports as fresh.
+    Entry 0 stands for a store that doesn't exist, which an open reports as fresh.
     """
 
     def __init__(self) -> None:
         self.states: list[dict[bytes, bytes] | None] = [None]
-        self.oldest = 0
+        self.oldest_allowed = 0
 
     def add(self, state: dict[bytes, bytes]) -> int:
-        """A new state; returns its place."""
+        """Add a state; returns its index."""
         self.states.append(state)
         return len(self.states) - 1
 
-    def durable(self, place: int) -> None:
-        """Nothing older than that may come back."""
-        self.oldest = max(self.oldest, place)
+    def mark_durable(self, position: int) -> None:
+        """Mark a state as durable: recovery must not return an older one."""
+        self.oldest_allowed = max(self.oldest_allowed, position)
 
     def allows(self, items: dict[bytes, bytes] | None) -> bool:
-        """Whether recovery may find this."""
-        return items in self.states[self.oldest :]
+        """Whether recovery may return `items`."""
+        return items in self.states[self.oldest_allowed :]
 
-    def recovered(self, items: dict[bytes, bytes] | None) -> int:
-        """Recovery found this: what came after it is gone; returns its place."""
-        place = max(at for at in range(self.oldest, len(self.states)) if self.states[at] == items)
-        del self.states[place + 1 :]
-        return place
+    def truncate_to(self, items: dict[bytes, bytes] | None) -> int:
+        """Remove the states after the recovered one; returns its index."""
+        position = max(
+            index for index in range(self.oldest_allowed, len(self.states)) if self.states[index] == items
+        )
+        del self.states[position + 1 :]
+        return position
 
 
 class HistoryTest(unittest.TestCase):
-    """The model itself."""
+    """Tests of the model of the history."""
 
-    def test_only_states_since_the_durable_one_may_come_back(self) -> None:
+    def test_only_states_since_the_durable_one_may_be_recovered(self) -> None:
         history = History()
         first = history.add({b"a": b"1"})
         history.add({b"a": b"2"})
         self.assertTrue(history.allows(None))
-        history.durable(first)
+        history.mark_durable(first)
         self.assertFalse(history.allows(None))
         self.assertTrue(history.allows({b"a": b"1"}))
         self.assertFalse(history.allows({}))
-        self.assertEqual(history.recovered({b"a": b"1"}), first)
+        self.assertEqual(history.truncate_to({b"a": b"1"}), first)
         self.assertFalse(history.allows({b"a": b"2"}))
