--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -25,12 +25,12 @@
 
 from benchmarks.decision_model import play
 from flintfield.jobs import state as dispatcher_state
-from flintfield.jobs.copies import Copies
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.gangs import Gangs
 from flintfield.jobs.moves import Moves
 from flintfield.jobs.preemption import Preemption
 from flintfield.jobs.racks import RackWaits
+from flintfield.jobs.speculation import SpeculativeCopies
 from flintfield.placement import health, market
 from flintfield.placement.candidates import CandidateFinder
 from flintfield.placement.health import HealthTable
@@ -83,12 +83,12 @@
     "suspicion by rate": (Replacement(health, "FALSE_ALARM_S", 0.0),),
     "waiting for a better worker": (Replacement(market, "SLOW", math.inf),),
     "packing": (Replacement(market, "MOST_COMPARED", 1),),
-    "waiting for racks": (Replacement(RackWaits, "may_wait", _always(False)),),
-    "back-off": (Replacement(Ends, "_backoff", _always(0)),),
+    "waiting for racks": (Replacement(RackWaits, "may_wait_for_rack", _always(False)),),
+    "back-off": (Replacement(RunEnds, "_backoff", _always(0)),),
     "preemption": (Replacement(Preemption, "make_room", _nothing),),
     "reservations of gangs": (Replacement(Gangs, "reserve", _nothing),),
     "moves": (Replacement(Moves, "check", _nothing),),
-    "copies": (Replacement(Copies, "tick", _nothing),),
+    "copies": (Replacement(SpeculativeCopies, "tick", _nothing),),
     "patience": (Replacement(dispatcher_state, "patience_ms", _always(GATHERED_MS)),),
 }
 """The mechanisms by name, and what takes each out."""
--- a/benchmarks/decision_model.py
+++ b/benchmarks/decision_model.py
@@ -29,7 +29,7 @@
 from flintfield.jobs.bounds import DispatcherBounds
 from flintfield.jobs.dispatcher import Dispatcher
 from flintfield.jobs.events import Answer, CallArrived, Event, ReportArrived, SendOrders, Tick, Write, Written
-from flintfield.jobs.messages import AgentOrders, AgentReport, How, JobCall, Method, WorkerState
+from flintfield.jobs.messages import AgentOrders, AgentReport, JobCall, Method, RunResult, WorkerState
 from flintfield.jobs.states import JobState
 from flintfield.jobs.timing import logged_times
 from flintfield.placement.market import Market
@@ -214,10 +214,10 @@
         self.runs += 1
         self.far_runs += far
         takes_ms = task.work_ms / plan.speed * (self.deployment.far_x if far else 1.0)
-        how = How.DONE
+        how = RunResult.DONE
         if task.failures > 0:
             task.failures -= 1
-            takes_ms, how = takes_ms * task.fails_at, How.FAILED
+            takes_ms, how = takes_ms * task.fails_at, RunResult.FAILED
         return Work(takes_ms, how, asked["cpu"], asked["memMb"], asked.get("gpu", 0))
 
     def feed(self, event: Event) -> None:
@@ -251,7 +251,7 @@
 
     def _note_ends(self) -> None:
         state = self.dispatcher.state
-        while state.ended and state.ended[0][1].shown is not JobState.ACTIVE:
+        while state.ended and state.ended[0][1].durable_state is not JobState.ACTIVE:
             _, job = state.ended.popleft()
             plan = self.jobs[job.id]
             plan.ended_ms = self.now_ms - LEAD_MS - 1_000.0
--- a/benchmarks/decision_worker.py
+++ b/benchmarks/decision_worker.py
@@ -7,7 +7,7 @@
 
 from benchmarks.decision_load import WorkerPlan
 from flintfield.agent.events import Answer, AnswerKind, Hold, RunStart, RunStop, WorkerRequest
-from flintfield.jobs.messages import End, How, Run
+from flintfield.jobs.messages import End, Run, RunResult
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
     run: int
     begun_ms: float
     ends_ms: float
-    how: How
+    how: RunResult
     cpu: int
     memory_mb: int
     gpu: int
@@ -29,7 +29,7 @@
     """What a start is to do: how long it takes there, how it ends, what it asks for."""
 
     takes_ms: float
-    how: How
+    how: RunResult
     cpu: int
     memory_mb: int
     gpu: int
@@ -58,7 +58,7 @@
                 answer(self._start(request))
             case RunStop():
                 if request.task in self.runs:
-                    self._end(self.runs[request.task], How.STOPPED)
+                    self._end(self.runs[request.task], RunResult.STOPPED)
                 answer(Answer(AnswerKind.OK, int(self.now())))
             case Hold():
                 self._hold(request, answer)
@@ -99,7 +99,7 @@
         if self.runs.get(run.name) is run:
             self._end(run, run.how)
 
-    def _end(self, run: ModelRun, how: How) -> None:
+    def _end(self, run: ModelRun, how: RunResult) -> None:
         del self.runs[run.name]
         self.number += 1
         self.ends.append(End(self.number, run.name, run.run, how, ""))
--- a/benchmarks/system_hollow_fleet.py
+++ b/benchmarks/system_hollow_fleet.py
@@ -14,10 +14,10 @@
     AgentOrders,
     AgentReport,
     End,
-    How,
     OrderResult,
     Outcome,
     Run,
+    RunResult,
     StartOrder,
     WorkerState,
 )
@@ -70,7 +70,7 @@
         self.ends = [end for end in self.ends if end.number > orders.last_seen]
         for stop in orders.stops:
             if stop.task in self.runs and self.runs[stop.task].number == stop.run:
-                self.end(now_ms, stop.task, How.STOPPED)
+                self.end(now_ms, stop.task, RunResult.STOPPED)
             self.results.append(OrderResult(stop.order, Outcome.DONE, int(now_ms)))
 
     def start(self, now_ms: float, order: StartOrder, takes_ms: float) -> HollowRun:
@@ -84,7 +84,7 @@
         self.runs[order.task] = run
         return run
 
-    def end(self, now_ms: float, task: str, how: How = How.DONE) -> None:
+    def end(self, now_ms: float, task: str, how: RunResult = RunResult.DONE) -> None:
         """A run is over."""
         run = self.runs.pop(task)
         self.last_number += 1
--- a/flintfield/agent/answers.py
+++ b/flintfield/agent/answers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from flintfield.agent.events import Answer, AnswerKind, Hold, RunStart, RunStop, WorkerRequest
-from flintfield.jobs.messages import End, How, Run
+from flintfield.jobs.messages import End, Run, RunResult
 
 MAX_RUNNING = 4_096  # far above what fits on one machine
 
@@ -16,7 +16,7 @@
     "late": AnswerKind.LATE,
     "room": AnswerKind.ROOM,
 }
-_HOW = {how.name.lower(): how for how in How}
+_HOW = {how.name.lower(): how for how in RunResult}
 
 
 def encode_request(request: WorkerRequest) -> tuple[str, bytes]:
--- a/flintfield/jobs/dispatcher.py
+++ b/flintfield/jobs/dispatcher.py
@@ -17,8 +17,7 @@
 
 from flintfield.jobs import durable
 from flintfield.jobs.bounds import DispatcherBounds
-from flintfield.jobs.copies import Copies
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.events import (
     AgentLost,
     CallArrived,
@@ -36,7 +35,8 @@
 from flintfield.jobs.preemption import Preemption
 from flintfield.jobs.readiness import Readiness
 from flintfield.jobs.restore import Restore
-from flintfield.jobs.starts import Starts
+from flintfield.jobs.speculation import SpeculativeCopies
+from flintfield.jobs.starts import PlacementPasses
 from flintfield.jobs.state import Counters, DispatcherState
 from flintfield.jobs.workers import Workers
 from flintfield.placement.interface import Placement
@@ -58,13 +58,13 @@
     ) -> None:
         self._state = DispatcherState(epoch, now_ms, bounds, placement, rng, configuration)
         self._readiness = Readiness(self._state)
-        self._ends = Ends(self._state, self._readiness)
+        self._ends = RunEnds(self._state, self._readiness)
         self._intake = Intake(self._state, self._readiness, self._ends)
         self._workers = Workers(self._state, self._ends, Moves(self._state, self._ends))
-        self._copies = Copies(self._state, self._ends)
+        self._copies = SpeculativeCopies(self._state, self._ends)
         self._gangs = Gangs(self._state, self._readiness, self._ends)
         preemption = Preemption(self._state, self._ends)
-        self._starts = Starts(self._state, self._readiness, self._ends, self._gangs, preemption)
+        self._starts = PlacementPasses(self._state, self._readiness, self._ends, self._gangs, preemption)
         self._placement_ticked_ms = now_ms
 
     @property
--- a/flintfield/jobs/ends.py
+++ b/flintfield/jobs/ends.py
@@ -12,7 +12,7 @@
 from flintfield.jobs import durable
 from flintfield.jobs.model import Job, Occurrence, Run, Step, Task
 from flintfield.jobs.readiness import Readiness
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.runs import Ending, Runs
 from flintfield.jobs.demands import demand_of
 from flintfield.jobs.state import DispatcherState
@@ -34,7 +34,7 @@
 }
 
 
-class Ends:
+class RunEnds:
     """Processes the ends of runs."""
 
     def __init__(self, state: DispatcherState, readiness: Readiness) -> None:
@@ -47,7 +47,7 @@
         state = self._state
         task = run.task
         state.counters.ends += 1
-        state.record(task.job, Happening.RUN_ENDED, run, ending.value)
+        state.record(task.job, JobEvent.RUN_ENDED, run, ending.value)
         self._report_end_to_placement(run, ending)
         self._record_times(run, ending)
         self.runs.close(run)
@@ -204,7 +204,7 @@
         left = self._close_occurrences(job)
         state.kept_bytes -= job.kept_bytes
         job.end(job_state, state.wall_ms)
-        state.record(job, Happening.JOB_ENDED, detail=job_state.name.lower())
+        state.record(job, JobEvent.JOB_ENDED, detail=job_state.name.lower())
         if was_active:
             state.pending[job.route] -= 1
         record = durable.EndRecord(int(job_state), job.ended_wall_ms, job.submitted, job.route)
--- a/flintfield/jobs/gangs.py
+++ b/flintfield/jobs/gangs.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from flintfield.jobs.demands import demand_of, has_room, can_place
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.estimates import left_ms
 from flintfield.jobs.model import Run, Step
 from flintfield.jobs.readiness import Readiness
@@ -32,7 +32,7 @@
 class Gangs:
     """Places gangs and manages reservations."""
 
-    def __init__(self, state: DispatcherState, readiness: Readiness, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, readiness: Readiness, ends: RunEnds) -> None:
         self._state = state
         self._readiness = readiness
         self._ends = ends
--- a/flintfield/jobs/intake.py
+++ b/flintfield/jobs/intake.py
@@ -13,13 +13,13 @@
 from flintfield.jobs import durable
 from flintfield.jobs.admission import refusal_reason
 from flintfield.jobs.body import MalformedJob, read_job
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.events import Answer, CallArrived, Configuration, Route
 from flintfield.jobs.messages import JobCall, Method
 from flintfield.jobs.model import Job
 from flintfield.jobs.terms import Terms
 from flintfield.jobs.readiness import Readiness
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState
 from flintfield.jobs.timing import Phase
@@ -44,7 +44,7 @@
 class Intake:
     """Answers clients' calls."""
 
-    def __init__(self, state: DispatcherState, readiness: Readiness, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, readiness: Readiness, ends: RunEnds) -> None:
         self._state = state
         self._readiness = readiness
         self._ends = ends
@@ -94,7 +94,7 @@
             return
         known = self._state.jobs.get(job_id)
         if known is None:
-            self._new(call, job_id, route, request.body)
+            self._submit_new(call, job_id, route, request.body)
         else:
             self._submit_known(call, known)
 
@@ -104,7 +104,7 @@
             self._state.put(durable.end_key(job.id), encode(_end_record(job)))
         self._state.after_write(partial(self._answer, call, 200))
 
-    def _new(self, call: int, job_id: str, route: Route, body: bytes) -> None:
+    def _submit_new(self, call: int, job_id: str, route: Route, body: bytes) -> None:
         state = self._state
         try:
             spec = read_job(body)
@@ -133,7 +133,7 @@
         self._state.timing.note(job, Phase.ADMISSION, self._state.now_ms - arrived_ms)
         if job.state is JobState.ACCEPTING:
             job.become_active()
-            self._state.record(job, Happening.ACCEPTED)
+            self._state.record(job, JobEvent.ACCEPTED)
             self._state.pending[job.route] += 1
             self._readiness.begin(job)
 
@@ -157,8 +157,8 @@
         self._state.after_write(partial(self._answer_status, call, job))
 
     def _answer_status(self, call: int, job: Job) -> None:
-        word = _STATE_BODIES.get(job.shown, _STATE_BODIES[JobState.ACTIVE])
-        if job.started and job.shown is JobState.ACTIVE:
+        word = _STATE_BODIES.get(job.durable_state, _STATE_BODIES[JobState.ACTIVE])
+        if job.started and job.durable_state is JobState.ACTIVE:
             word = _RUNNING_BODY
         self._answer(call, 200, word)
 
--- a/flintfield/jobs/listings.py
+++ b/flintfield/jobs/listings.py
@@ -9,8 +9,8 @@
 
 from functools import partial
 
-from flintfield.jobs.ends import Ends
-from flintfield.jobs.messages import AgentReport, End, How, Run as ListedRun
+from flintfield.jobs.ends import RunEnds
+from flintfield.jobs.messages import AgentReport, End, Run as ListedRun, RunResult
 from flintfield.jobs.model import Run
 from flintfield.jobs.occurrences import gang_is_complete
 from flintfield.jobs.moves import Moves
@@ -24,52 +24,52 @@
 DONE_RUN_MS = 1_500  # a run of a task that is done is stopped if it does not end by itself within this time
 
 _ENDINGS = {
-    How.DONE: Ending.DONE,
-    How.FAILED: Ending.FAILED,
-    How.STOPPED: Ending.STOPPED,
-    How.LAPSED: Ending.LAPSED,
-    How.BROKEN: Ending.BROKEN,
-    How.ALONE: Ending.ALONE,
+    RunResult.DONE: Ending.DONE,
+    RunResult.FAILED: Ending.FAILED,
+    RunResult.STOPPED: Ending.STOPPED,
+    RunResult.LAPSED: Ending.LAPSED,
+    RunResult.BROKEN: Ending.BROKEN,
+    RunResult.ALONE: Ending.ALONE,
 }
 
 
 class Listings:
     """Processes the lists of a report."""
 
-    def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds, moves: Moves) -> None:
         self._state = state
         self._ends = ends
         self._moves = moves
 
-    def take_in(self, record: WorkerRecord, report: AgentReport) -> None:
+    def process_report(self, record: WorkerRecord, report: AgentReport) -> None:
         """Process both lists; ends come first, as an ended run is no longer listed as running."""
-        self._take_in_ends(record, report.finished)
-        self._take_in_listing(record, report)
+        self._process_ends(record, report.finished)
+        self._process_listing(record, report)
 
-    def _take_in_ends(self, record: WorkerRecord, finished: tuple[End, ...]) -> None:
+    def _process_ends(self, record: WorkerRecord, finished: tuple[End, ...]) -> None:
         """Process all reported ends; `last_seen` advances only up to the first gap in their numbers."""
         contiguous_up_to = None
         for end in sorted(finished, key=lambda each: each.number):
-            if end.number > record.taken_in:
-                self._take_in_end(record, end)
+            if end.number > record.processed_ends:
+                self._process_end(record, end)
             if contiguous_up_to is None or end.number == contiguous_up_to + 1:
                 contiguous_up_to = end.number
-        if contiguous_up_to is not None and contiguous_up_to > record.taken_in:
-            record.taken_in = contiguous_up_to
+        if contiguous_up_to is not None and contiguous_up_to > record.processed_ends:
+            record.processed_ends = contiguous_up_to
             self._state.after_write(partial(self._advance_last_seen, record, contiguous_up_to))
 
-    def _take_in_end(self, record: WorkerRecord, end: End) -> None:
+    def _process_end(self, record: WorkerRecord, end: End) -> None:
         run = record.runs.get((end.task, end.run))
         if run is None or run.state is RunState.PLACING:
             return  # already released, or its job is forgotten
-        if end.how is How.DONE:
+        if end.how is RunResult.DONE:
             self._state.service(record.worker.service).progress[record.instance] = self._state.now_ms
         self._ends.resolve(run, _ENDINGS[end.how], end.saved)
 
     def _advance_last_seen(self, record: WorkerRecord, number: int) -> None:
         record.last_seen = max(record.last_seen, number)
 
-    def _take_in_listing(self, record: WorkerRecord, report: AgentReport) -> None:
+    def _process_listing(self, record: WorkerRecord, report: AgentReport) -> None:
         if report.listing_stamp < 0 or report.listing_stamp <= record.listing_stamp:
             return
         record.listing_stamp = report.listing_stamp
@@ -136,9 +136,9 @@
         self._ends.resolve(run, Ending.VANISHED, "")
 
     def _stop_strays(self, record: WorkerRecord, listed: dict[tuple[str, int], ListedRun]) -> None:
-        for key in [key for key in record.strays if key not in listed]:
-            record.orders.pop(record.strays.pop(key), None)
+        for key in [key for key in record.unknown_runs if key not in listed]:
+            record.orders.pop(record.unknown_runs.pop(key), None)
         for key in listed:
-            if key not in record.runs and key not in record.barred and key not in record.strays:
+            if key not in record.runs and key not in record.blocked_runs and key not in record.unknown_runs:
                 self._state.counters.strays += 1
-                record.strays[key] = self._ends.runs.order_stray_stop(record, *key)
+                record.unknown_runs[key] = self._ends.runs.order_stray_stop(record, *key)
--- a/flintfield/jobs/messages.py
+++ b/flintfield/jobs/messages.py
@@ -73,7 +73,7 @@
     percent: int
 
 
-class How(enum.IntEnum):
+class RunResult(enum.IntEnum):
     """How a run ended, as reported by the worker."""
 
     DONE = 1
@@ -91,7 +91,7 @@
     number: int
     task: str
     run: int
-    how: How
+    how: RunResult
     saved: str
 
 
--- a/flintfield/jobs/model.py
+++ b/flintfield/jobs/model.py
@@ -223,7 +223,7 @@
     body: bytes
     spec: JobSpec | None  # None once it has ended
     state: JobState = JobState.ACCEPTING
-    shown: JobState = JobState.ACCEPTING  # the durable state, which is shown to clients
+    durable_state: JobState = JobState.ACCEPTING  # the durable state, which is shown to clients
     submitted: bool = True
     kept_bytes: int = 0  # upper bound of its size in the store until it has ended
     started: bool = False
@@ -249,7 +249,7 @@
     def become_active(self) -> None:
         """Record that its acceptance is durable."""
         self._change(JobState.ACTIVE)
-        self.shown = JobState.ACTIVE
+        self.durable_state = JobState.ACTIVE
 
     def end(self, state: JobState, wall_ms: int) -> None:
         """End the job; clients see the end once it is durable (`show_end`)."""
@@ -261,7 +261,7 @@
 
     def show_end(self) -> None:
         """Record that its end is durable."""
-        self.shown = self.state
+        self.durable_state = self.state
 
     def occurrence_done(self, number: int) -> None:
         """Record that all tasks of an occurrence are done."""
--- a/flintfield/jobs/moves.py
+++ b/flintfield/jobs/moves.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from flintfield.jobs.demands import demand_of, can_place
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.estimates import SLOWNESS_STEP, estimate_ms, left_ms, pace_of, step_towards
 from flintfield.jobs.model import Run
 from flintfield.jobs.state import DispatcherState
@@ -32,7 +32,7 @@
 class Moves:
     """Moves runs off stalled, slow and draining workers."""
 
-    def __init__(self, state: DispatcherState, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds) -> None:
         self._state = state
         self._ends = ends
         self._allowance = MAX_MOVE_BURST
--- a/flintfield/jobs/orders.py
+++ b/flintfield/jobs/orders.py
@@ -36,9 +36,9 @@
         for result in results:
             pending = record.orders.get(result.order)
             if pending is not None:
-                self._result(record, pending, result)
+                self._handle_result(record, pending, result)
 
-    def _result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
+    def _handle_result(self, record: WorkerRecord, pending: PendingOrder, result: OrderResult) -> None:
         if result.outcome is Outcome.GONE:
             self._on_gone(record)
         elif result.outcome is Outcome.FENCE:
@@ -49,7 +49,7 @@
             del record.orders[result.order]
             pending.run.order_answered(result.stamp_ms, self._state.now_ms)
         elif pending.start is not None:
-            self._not_started(record, pending, pending.run, result.outcome)
+            self._handle_start_not_executed(record, pending, pending.run, result.outcome)
         else:
             self._pause_worker(record, result.outcome)
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
@@ -60,10 +60,12 @@
             pending.sent_ms = self._state.now_ms - REPEAT_MS + RETRY_MS
             return
         del record.orders[result.order]
-        for key in [key for key, order in record.barred.items() if order == result.order]:
-            del record.barred[key]
+        for key in [key for key, order in record.blocked_runs.items() if order == result.order]:
+            del record.blocked_runs[key]
 
-    def _not_started(self, record: WorkerRecord, pending: PendingOrder, run: Run, outcome: Outcome) -> None:
+    def _handle_start_not_executed(
+        self, record: WorkerRecord, pending: PendingOrder, run: Run, outcome: Outcome
+    ) -> None:
         """Handle a start that was not carried out; if an earlier try still may be, stop the run first."""
         self._pause_worker(record, outcome)
         if outcome in _NOTHING_DONE and pending.boot == record.boot and run.state is RunState.ORDERED:
@@ -74,7 +76,7 @@
     def _pause_worker(self, record: WorkerRecord, outcome: Outcome) -> None:
         if outcome in _PAUSING_OUTCOMES:
             pause = REFUSAL_PAUSE_MS * (1 + self._state.rng.random() / 2)
-            record.unwell_until_ms = self._state.now_ms + int(pause)
+            record.paused_until_ms = self._state.now_ms + int(pause)
 
     # Repetition
 
--- a/flintfield/jobs/preemption.py
+++ b/flintfield/jobs/preemption.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from flintfield.jobs.demands import demand_of
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.model import Run, Step
 from flintfield.jobs.ranks import PRIORITY_GAP_MS
 from flintfield.jobs.queues import ServiceQueue
@@ -39,7 +39,7 @@
 class Preemption:
     """Stops runs to free capacity for late steps."""
 
-    def __init__(self, state: DispatcherState, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds) -> None:
         self._state = state
         self._ends = ends
 
--- a/flintfield/jobs/racks.py
+++ b/flintfield/jobs/racks.py
@@ -31,7 +31,7 @@
             str, Resources
         ] = {}  # by rack, on a single worker, at the first check of the pass: an upper bound
 
-    def may_wait(self, step: Step, task: Task) -> bool:
+    def may_wait_for_rack(self, step: Step, task: Task) -> bool:
         """Whether the task may still wait for the rack of its data; False if no worker is in that rack."""
         if not step.spec.affinity or self._rack_capacity(step) <= 0:
             return False
--- a/flintfield/jobs/recorder.py
+++ b/flintfield/jobs/recorder.py
@@ -8,7 +8,7 @@
 from flintfield.jobs.model import Job, Run
 
 
-class Happening(enum.IntEnum):
+class JobEvent(enum.IntEnum):
     """An event in the life of a job. The numbers are part of the message format of `flintfield.observe`."""
 
     ACCEPTED = 1
@@ -22,5 +22,5 @@
 class Recorder(Protocol):
     """Receives state changes; called while an event is processed, so it must be fast and must not raise."""
 
-    def note(self, wall_ms: int, job: Job, happening: Happening, run: Run | None, detail: str) -> None:
+    def note(self, wall_ms: int, job: Job, happening: JobEvent, run: Run | None, detail: str) -> None:
         """Record an event of the job or of one of its runs; `wall_ms` is cluster time."""
--- a/flintfield/jobs/restore.py
+++ b/flintfield/jobs/restore.py
@@ -11,7 +11,7 @@
 from flintfield.jobs.occurrences import open_occurrence
 from flintfield.jobs.terms import Terms
 from flintfield.jobs.readiness import Readiness
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState, RunState, TaskState
 from flintfield.jobs.worker_record import WorkerRecord, unknown_worker
@@ -121,7 +121,7 @@
             state.workers[record.instance] = WorkerRecord(worker, False, state.now_ms)
             state.by_machine[record.machine] = record.instance
         state.count_run(run)
-        state.record(task.job, Happening.INHERITED, run)
+        state.record(task.job, JobEvent.INHERITED, run)
 
     def _resume(self, job: Job) -> None:
         if job.ended:
--- a/flintfield/jobs/runs.py
+++ b/flintfield/jobs/runs.py
@@ -13,7 +13,7 @@
 from flintfield.jobs.messages import StartOrder, StopOrder
 from flintfield.jobs.model import Job, Run, Task
 from flintfield.jobs.occurrences import gang_is_complete
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.state import DispatcherState
 from flintfield.jobs.states import JobState, RunState, TaskState
 from flintfield.jobs.timing import Phase
@@ -68,15 +68,15 @@
         task.step.run_opened(run)
         task.become_placed()
         state.count_run(run)
-        state.record(task.job, Happening.PLACED, run)
+        state.record(task.job, JobEvent.PLACED, run)
         if task.step.spec.speculative and not task.step.spec.gang:
             state.speculative[task] = None
         state.write_task(task)
         state.placement.note_start(demand, worker.instance, state.now_ms)
-        state.after_write(partial(self._placed, run))
+        state.after_write(partial(self._placement_durable, run))
         return run
 
-    def _placed(self, run: Run) -> None:
+    def _placement_durable(self, run: Run) -> None:
         if run.state is not RunState.PLACING:
             return
         record = self._state.record_of(run)
@@ -112,7 +112,7 @@
             return
         record = self._state.record_of(run)
         if record is not None:
-            self._state.record(run.task.job, Happening.STOPPING, run)
+            self._state.record(run.task.job, JobEvent.STOPPING, run)
             self.order_stop(run, record)
 
     def order_stop(self, run: Run, record: WorkerRecord) -> None:
--- a/flintfield/jobs/copies.py
+++ b/flintfield/jobs/speculation.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from flintfield.jobs.demands import demand_of, can_place
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.estimates import estimate_ms
 from flintfield.jobs.model import Task
 from flintfield.jobs.state import DispatcherState
@@ -22,10 +22,10 @@
 MAX_CHECKED_TASKS = 256  # per check; the rest wait for the next check
 
 
-class Copies:
+class SpeculativeCopies:
     """Starts copies of late tasks of speculative steps."""
 
-    def __init__(self, state: DispatcherState, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds) -> None:
         self._state = state
         self._ends = ends
         self._last_check_ms = state.now_ms
--- a/flintfield/jobs/starts.py
+++ b/flintfield/jobs/starts.py
@@ -11,7 +11,7 @@
 from flintfield.jobs.gangs import FORCE_AFTER_MS, Gangs
 from flintfield.jobs.model import Step, Task
 from flintfield.jobs.readiness import Readiness
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.preemption import Preemption
 from flintfield.jobs.queues import ServiceQueue
 from flintfield.jobs.racks import RackWaits
@@ -31,11 +31,16 @@
 _SHORT_OF_ROOM = (WaitCause.ROOM, WaitCause.GANG)
 
 
-class Starts:
+class PlacementPasses:
     """Runs placement passes over the queues."""
 
     def __init__(
-        self, state: DispatcherState, readiness: Readiness, ends: Ends, gangs: Gangs, preemption: Preemption
+        self,
+        state: DispatcherState,
+        readiness: Readiness,
+        ends: RunEnds,
+        gangs: Gangs,
+        preemption: Preemption,
     ) -> None:
         self._state = state
         self._readiness = readiness
@@ -118,7 +123,7 @@
         tasks = list(step.ready.values())
         if not step.spec.affinity:
             return self._place_tasks(queue, step, tasks, budget, data_rack_only=False)
-        rack_candidates = [task for task in tasks if racks.may_wait(step, task)]
+        rack_candidates = [task for task in tasks if racks.may_wait_for_rack(step, task)]
         placed = 0
         if rack_candidates and racks.has_room(step):
             placed = self._place_tasks(queue, step, rack_candidates, budget, data_rack_only=True)
--- a/flintfield/jobs/state.py
+++ b/flintfield/jobs/state.py
@@ -14,7 +14,7 @@
 from flintfield.jobs.messages import AgentOrders, JobAnswer
 from flintfield.jobs.model import Job, Run, Task
 from flintfield.jobs.patience import patience_ms
-from flintfield.jobs.recorder import Happening, Recorder
+from flintfield.jobs.recorder import JobEvent, Recorder
 from flintfield.jobs.queues import ServiceQueue
 from flintfield.jobs.timing import Timing
 from flintfield.jobs.worker_record import WorkerRecord
@@ -71,7 +71,7 @@
         self.workers: dict[str, WorkerRecord] = {}
         self.placeable: dict[str, Worker] = {}  # workers named by reports; visible to the placement policy
         self.by_machine: dict[str, str] = {}
-        self.gone: OrderedDict[str, None] = OrderedDict()
+        self.removed_incarnations: OrderedDict[str, None] = OrderedDict()
         self.services: dict[str, ServiceQueue] = {}
         self.paces = Paces()
         self.timing = Timing()
@@ -132,7 +132,7 @@
         self.put(durable.task_key(task.name), durable.encode_task(task))
         task.recorded = True
 
-    def record(self, job: Job, happening: Happening, run: Run | None = None, detail: str = "") -> None:
+    def record(self, job: Job, happening: JobEvent, run: Run | None = None, detail: str = "") -> None:
         """Notify the recorder, if there is one."""
         if self.recorder is not None:
             self.recorder.note(self.wall_ms, job, happening, run, detail)
--- a/flintfield/jobs/worker_record.py
+++ b/flintfield/jobs/worker_record.py
@@ -39,15 +39,15 @@
     remaining_ms: int = 0  # as last reported
     slowness: float = 1.0  # as a multiple of the usual
     silent: bool = False
-    unwell_until_ms: int = 0
+    paused_until_ms: int = 0
     unidentified_boot: int = 0  # boot of an agent that did not know its worker
     unidentified_since_ms: int = 0
     last_seen: int = 0  # ends up to this number are durable
-    taken_in: int = 0  # ends up to this number are processed
+    processed_ends: int = 0  # ends up to this number are processed
     runs: dict[tuple[str, int], Run] = field(default_factory=dict)
     orders: dict[int, PendingOrder] = field(default_factory=dict)
-    barred: dict[tuple[str, int], int] = field(default_factory=dict)  # released runs: their stop orders
-    strays: dict[tuple[str, int], int] = field(default_factory=dict)  # listed but unknown: their stop orders
+    blocked_runs: dict[tuple[str, int], int] = field(default_factory=dict)  # released runs: their stop orders
+    unknown_runs: dict[tuple[str, int], int] = field(default_factory=dict)  # listed but unknown: stop orders
     unsent_starts: list[StartOrder] = field(default_factory=list)
     unsent_stops: list[StopOrder] = field(default_factory=list)
 
--- a/flintfield/jobs/workers.py
+++ b/flintfield/jobs/workers.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.events import SendOrders
 from flintfield.jobs.listings import Listings
 from flintfield.jobs.messages import AgentOrders, AgentReport, WorkerState
@@ -29,7 +29,7 @@
 class Workers:
     """Processes reports, and timeouts of workers without reports."""
 
-    def __init__(self, state: DispatcherState, ends: Ends, moves: Moves) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds, moves: Moves) -> None:
         self._state = state
         self._ends = ends
         self._moves = moves
@@ -43,7 +43,7 @@
         """Process a report and answer it."""
         state = self._state
         reported = report.worker
-        if reported is None or reported.instance in state.gone:
+        if reported is None or reported.instance in state.removed_incarnations:
             self._answer_without_worker(report)
             return
         record = self._record(report, reported)
@@ -54,7 +54,7 @@
         self._orders.results(record, report.results)
         if fresh:
             self._orders.repeat_all(record)
-        self._listings.take_in(record, report)
+        self._listings.process_report(record, report)
         self._release_lapsed(record, report)
         self._grant(record, report)
         self.update_ready(record)
@@ -80,7 +80,7 @@
     def _may_identify(self, record: WorkerRecord, report: AgentReport) -> bool:
         """Whether to tell a restarted agent which worker it had, so that the worker's hold is extended."""
         now = self._state.now_ms
-        if report.boot == record.boot or record.barred:
+        if report.boot == record.boot or record.blocked_runs:
             return False
         if record.unidentified_boot != report.boot:
             record.unidentified_boot, record.unidentified_since_ms = report.boot, now
@@ -162,7 +162,7 @@
                     self._release(record, run)
 
     def _grant(self, record: WorkerRecord, report: AgentReport) -> None:
-        if record.silent or record.barred:
+        if record.silent or record.blocked_runs:
             return
         record.granted_ms = self._state.now_ms
         record.granted_stamp = report.stamp_ms
@@ -173,7 +173,7 @@
             return
         if run.state is not RunState.PLACING:
             key = (run.name, run.number)
-            record.barred[key] = self._ends.runs.order_stray_stop(record, *key)
+            record.blocked_runs[key] = self._ends.runs.order_stray_stop(record, *key)
         self._state.counters.lost_runs += 1
         self._ends.resolve(run, Ending.LOST, "")
 
@@ -181,9 +181,9 @@
         """Remove an incarnation that runs nothing any more, and resolve its runs."""
         state = self._state
         state.workers.pop(record.instance, None)
-        state.gone[record.instance] = None
-        if len(state.gone) > MAX_GONE_REMEMBERED:
-            state.gone.popitem(last=False)
+        state.removed_incarnations[record.instance] = None
+        if len(state.removed_incarnations) > MAX_GONE_REMEMBERED:
+            state.removed_incarnations.popitem(last=False)
         if state.by_machine.get(record.worker.machine) == record.instance:
             del state.by_machine[record.worker.machine]
         record.worker.ready = False
@@ -216,9 +216,9 @@
             and held
             and not record.draining
             and not record.silent
-            and not record.barred
-            and not record.strays
-            and state.now_ms >= record.unwell_until_ms
+            and not record.blocked_runs
+            and not record.unknown_runs
+            and state.now_ms >= record.paused_until_ms
         )
         if ready and not record.worker.ready:
             state.service(record.worker.service).dirty = True
--- a/flintfield/observe/history.py
+++ b/flintfield/observe/history.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from flintfield.jobs.model import Job, Run
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 
 if TYPE_CHECKING:
     from flintfield.observe.messages import EventRow
@@ -95,7 +95,7 @@
         self._words = _Words()
         self._kept: deque[weakref.ref[Notes]] = deque()
 
-    def note(self, wall_ms: int, job: Job, happening: Happening, run: Run | None, detail: str) -> None:
+    def note(self, wall_ms: int, job: Job, happening: JobEvent, run: Run | None, detail: str) -> None:
         """Note one event."""
         notes = job.history
         if not isinstance(notes, Notes):
@@ -136,7 +136,7 @@
         texts = self._words.texts
         return EventRow(
             wall_ms,
-            Happening(happening),
+            JobEvent(happening),
             time,
             step,
             index,
--- a/flintfield/observe/messages.py
+++ b/flintfield/observe/messages.py
@@ -11,7 +11,7 @@
 
 from flintfield.coordination.messages import KnownLeader
 from flintfield.coordination.model import CoreSet
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.jobs.timing import Phase
 from flintfield.transport.records import record
@@ -218,7 +218,7 @@
     `epoch` is of the dispatcher that placed the run, or that noted the event where there is no run."""
 
     wall_ms: int
-    happening: Happening
+    happening: JobEvent
     time: int
     step: int
     index: int
--- a/flintfield/observe/tables.py
+++ b/flintfield/observe/tables.py
@@ -121,7 +121,7 @@
         return WorkerCondition.SILENT
     if record.draining:
         return WorkerCondition.DRAINING
-    if record.unwell_until_ms > state.now_ms:
+    if record.paused_until_ms > state.now_ms:
         return WorkerCondition.UNWELL
     if not trusted:
         return WorkerCondition.QUARANTINED
@@ -157,9 +157,9 @@
 
 def _state_word(job: Job) -> str:
     """As clients are told it."""
-    if job.shown in (JobState.ACCEPTING, JobState.ACTIVE):
+    if job.durable_state in (JobState.ACCEPTING, JobState.ACTIVE):
         return RUNNING if job.started else QUEUED
-    return job.shown.name.lower()
+    return job.durable_state.name.lower()
 
 
 # One job.
--- a/flintfield/simulation/planted/dispatcher.py
+++ b/flintfield/simulation/planted/dispatcher.py
@@ -8,7 +8,7 @@
 from flintfield.dispatch import service
 from flintfield.jobs import intake
 from flintfield.jobs.dispatcher import Dispatcher
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.events import CallArrived
 from flintfield.jobs.listings import Listings
 from flintfield.jobs.messages import Method, OrderResult, Outcome
@@ -27,7 +27,7 @@
     after_write, flush = DispatcherState.after_write, DispatcherState.flush
 
     def put_off(self: DispatcherState, action: Callable[[], None]) -> None:
-        if getattr(getattr(action, "func", None), "__name__", "") == "_placed":
+        if getattr(getattr(action, "func", None), "__name__", "") == "_placement_durable":
             hasty.setdefault(id(self), []).append(action)
         else:
             after_write(self, action)
@@ -44,8 +44,8 @@
     """Jobs are acknowledged before they are durable."""
 
     class Hasty(intake.Intake):
-        def _new(self, call: int, job_id: str, route: Any, body: bytes) -> None:
-            super()._new(call, job_id, route, body)
+        def _submit_new(self, call: int, job_id: str, route: Any, body: bytes) -> None:
+            super()._submit_new(call, job_id, route, body)
             if job_id in self._state.jobs:
                 self._answer(call, 200)
 
@@ -62,13 +62,13 @@
 
 def advance_last_seen_early() -> list[Patch]:
     """LastSeen passes ends that are not durable."""
-    take_in_ends = Listings._take_in_ends
+    process_ends = Listings._process_ends
 
     def early(self: Listings, record: WorkerRecord, finished: Any) -> None:
-        take_in_ends(self, record, finished)
-        record.last_seen = max(record.last_seen, record.taken_in)
+        process_ends(self, record, finished)
+        record.last_seen = max(record.last_seen, record.processed_ends)
 
-    return [Patch(Listings, "_take_in_ends", early)]
+    return [Patch(Listings, "_process_ends", early)]
 
 
 def one_epoch_for_all() -> list[Patch]:
@@ -82,14 +82,14 @@
 
 def silence_is_stopped() -> list[Patch]:
     """A stop without an answer counts as carried out."""
-    result = Orders._result
+    result = Orders._handle_result
 
     def taken(self: Orders, record: WorkerRecord, pending: Any, told: OrderResult) -> None:
         if pending.stop is not None and told.outcome is Outcome.UNKNOWN:
             told = OrderResult(told.order, Outcome.DONE, told.stamp_ms)
         result(self, record, pending, told)
 
-    return [Patch(Orders, "_result", taken)]
+    return [Patch(Orders, "_handle_result", taken)]
 
 
 def unanswered_is_not_started() -> list[Patch]:
@@ -98,7 +98,7 @@
     def not_started(self: Orders, record: WorkerRecord, pending: Any, run: Any, outcome: Outcome) -> None:
         self._resolve(run, Ending.REFUSED, "")
 
-    return [Patch(Orders, "_not_started", not_started)]
+    return [Patch(Orders, "_handle_start_not_executed", not_started)]
 
 
 def free_at_silence() -> list[Patch]:
@@ -157,12 +157,12 @@
 
 def forget_failures() -> list[Patch]:
     """A failed run does not count against the task's attempts."""
-    return [Patch(Ends, "_out_of_attempts", lambda self, step, task: False)]
+    return [Patch(RunEnds, "_out_of_attempts", lambda self, step, task: False)]
 
 
 def late_cancel() -> list[Patch]:
     """What still runs of a job that has ended is not stopped."""
     return [
-        Patch(Ends, "_stop_all", lambda self, runs: None),
+        Patch(RunEnds, "_stop_all", lambda self, runs: None),
         Patch(Listings, "_should_stop", lambda self, run, now: False),
     ]
--- a/flintfield/simulation/worker.py
+++ b/flintfield/simulation/worker.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from flintfield.agent.events import Answer, AnswerKind, Hold, RunStart, RunStop
-from flintfield.jobs.messages import End, How, Run
+from flintfield.jobs.messages import End, Run, RunResult
 from flintfield.simulation.faults import Trigger
 from flintfield.simulation.held import Gangs, Held, Phase, fits
 from flintfield.simulation.plans import Bounds, Kind, Plan
@@ -138,7 +138,7 @@
     def finish_runs(self) -> None:
         """Let all that runs end `done` now."""
         for held in list(self._runs.values()):
-            self._end(held, How.DONE)
+            self._end(held, RunResult.DONE)
 
     def crash(self) -> None:
         """Everything is gone without a word."""
@@ -186,17 +186,17 @@
     def _lapse(self) -> None:
         self._unnoted.update(self._ends)
         for held in list(self._runs.values()):
-            self._end(held, How.LAPSED)
+            self._end(held, RunResult.LAPSED)
 
     def _happen(self, held: Held) -> None:
         if held.phase is Phase.STOPPING:
-            self._end(held, How.STOPPED)
+            self._end(held, RunResult.STOPPED)
         elif held.phase is Phase.WAITING:
-            self._end(held, How.ALONE)
+            self._end(held, RunResult.ALONE)
         else:
             plan = held.plan
             failed = plan.fails < 0 or held.seen.run <= plan.fails
-            self._end(held, How.FAILED if failed else How.DONE)
+            self._end(held, RunResult.FAILED if failed else RunResult.DONE)
 
     # Runs.
 
@@ -242,26 +242,26 @@
         held.work(self.clock_ms, self._bounds.restore_ms)
         self._arm()
 
-    def _end(self, held: Held, how: How) -> None:
+    def _end(self, held: Held, how: RunResult) -> None:
         seen = held.seen
         if self._runs.pop((seen.task, seen.run), None) is None:
             return  # it went with another member of its gang in the same moment
         self._barred[seen.task] = max(seen.run, self._barred.get(seen.task, 0))
         self._numbers += 1
         seen.end_ms, seen.how, seen.number = self.world.now_ms, how.name.lower(), self._numbers
-        saved = "" if how is How.DONE else held.saved
+        saved = "" if how is RunResult.DONE else held.saved
         self._ends[self._numbers] = (End(self._numbers, seen.task, seen.run, how, saved), seen)
-        if how is How.LAPSED:
+        if how is RunResult.LAPSED:
             self._unnoted.add(self._numbers)
         self.world.note(f"worker {self.instance}: run {seen.run} of {seen.task} {seen.how}")
         if held.plan.gang > 1:
             self._gangs.remove(held)
-            if how not in (How.DONE, How.ALONE):
+            if how not in (RunResult.DONE, RunResult.ALONE):
                 self._break(held)
-            elif how is How.DONE:
+            elif how is RunResult.DONE:
                 for worker, member in self._gangs.present(held.gang):
                     if (member.seen.task, member.seen.run) in worker._runs:
-                        worker._end(member, How.DONE)
+                        worker._end(member, RunResult.DONE)
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             self.world.after(0.0, waiter)
@@ -271,7 +271,7 @@
         for worker, member in self._gangs.present(held.gang):
             if (member.seen.task, member.seen.run) in worker._runs:
                 worker._save(member)
-                worker._end(member, How.BROKEN)
+                worker._end(member, RunResult.BROKEN)
 
     def _save(self, held: Held, period_ms: float = 0.0) -> None:
         text = held.checkpoint(self.clock_ms, period_ms)
--- a/tests/system/jobs_fleet.py
+++ b/tests/system/jobs_fleet.py
@@ -14,7 +14,7 @@
 from flintfield.agent.core import Agent
 from flintfield.agent.limits import AgentLimits
 from flintfield.jobs.events import AgentLost, Event, ReportArrived
-from flintfield.jobs.messages import AgentOrders, AgentReport, End, How, Run, WorkerState
+from flintfield.jobs.messages import AgentOrders, AgentReport, End, Run, RunResult, WorkerState
 
 from .jobs_worker import ObservedRun, WorldWorker
 from .support.worker_model import ModelRun
@@ -313,7 +313,7 @@
             lists: dict[str, Any] = worker.lists(worker.clock())
             running = tuple(Run(*each) for each in lists["running"])
             finished = tuple(
-                End(number, task, run, How[how.upper()], saved)
+                End(number, task, run, RunResult[how.upper()], saved)
                 for number, task, run, how, saved in lists["finished"]
             )
             if not machine.worker_cut:
--- a/tests/system/test_agent_holds.py
+++ b/tests/system/test_agent_holds.py
@@ -7,7 +7,7 @@
 
 from flintfield.agent.events import AnswerKind, CallWorker, Hold, RunStart, RunStop
 from flintfield.agent.limits import AgentLimits
-from flintfield.jobs.messages import End, How, StartOrder, StopOrder
+from flintfield.jobs.messages import End, RunResult, StartOrder, StopOrder
 
 from .support.agent_play import CLOCK_AHEAD_MS, HOLD_MAX_MS, HOLD_MS, OTHER_TASK, START_MS, TASK, Play
 
@@ -58,7 +58,7 @@
 
     def test_an_end_is_reported_at_once_and_its_number_goes_with_the_next_call(self) -> None:
         call, _ = self.long_call()
-        self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         self.play.pass_time(5)
         self.assertEqual((1,), tuple(end.number for end in self.play.reports[-1].finished))
         self.assertEqual([], self.play.pending(Hold), "the worker would repeat the end at once")
@@ -78,7 +78,7 @@
                 fresh = range(call.request.last_seen + 1, len(ended) + 1)
                 if fresh:
                     calls += 1
-                    finished = tuple(End(number, TASK, number, How.DONE, "") for number in fresh)
+                    finished = tuple(End(number, TASK, number, RunResult.DONE, "") for number in fresh)
                     self.play.answer(call, finished=finished)
                 elif self.play.now - begun >= 1_000 + call.request.wait_ms:
                     self.assertEqual(len(ended), call.request.last_seen)
@@ -89,7 +89,7 @@
 
     def test_no_end_is_gathered_for_long(self) -> None:
         call, _ = self.long_call()
-        self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         answered = self.play.now
         while not self.play.pending(Hold):
             self.play.pass_time(1)
@@ -97,7 +97,7 @@
         self.assertLessEqual(self.play.now - answered, LONGEST_GATHERING_MS)
 
     def test_a_late_acknowledgement_ends_the_pause_after_a_call_that_brought_nothing(self) -> None:
-        end = (End(1, TASK, 1, How.DONE, ""),)
+        end = (End(1, TASK, 1, RunResult.DONE, ""),)
         call, _ = self.long_call()
         self.play.answer(call, finished=end)
         while not self.play.pending(Hold):
@@ -111,7 +111,7 @@
 
     def test_ends_are_gathered_for_less_long_while_tasks_wait_for_room(self) -> None:
         call, _ = self.long_call()
-        self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         answered = self.play.now
         self.play.pass_time(20)
         self.play.order(StartOrder(1, OTHER_TASK, 1, "", ""), last_seen=1)
@@ -122,14 +122,14 @@
     def test_a_start_that_follows_no_end_changes_nothing(self) -> None:
         self.play.order(StartOrder(1, OTHER_TASK, 1, "", ""))
         call, _ = self.long_call()
-        self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         self.play.order(last_seen=1)
         self.play.pass_time(LONGEST_BUSY_GATHERING_MS)
         self.assertEqual([], self.play.pending(Hold))
 
     def test_a_higher_epoch_is_told_while_ends_are_gathered(self) -> None:
         call, _ = self.long_call()
-        self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         self.play.order(epoch=4)
         _, hold = self.long_call()
         self.assertEqual((4, 0), (hold.fence, hold.wait_ms))
@@ -140,7 +140,7 @@
         self.play.answer(self.play.only(RunStop))
         due = self.play.now + AgentLimits(HOLD_MAX_MS, 200).settle_ms
         self.play.pass_time(due - self.play.now - 10)
-        self.play.answer(first, finished=(End(1, OTHER_TASK, 1, How.DONE, ""),))
+        self.play.answer(first, finished=(End(1, OTHER_TASK, 1, RunResult.DONE, ""),))
         self.play.pass_time(11)
         _, hold = self.long_call()
         self.assertEqual(0, hold.wait_ms)
@@ -151,7 +151,7 @@
         while self.play.now < end:
             for call in self.play.pending(Hold):
                 calls += 1
-                self.play.answer(call, finished=(End(1, TASK, 1, How.DONE, ""),))
+                self.play.answer(call, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
             self.play.pass_time(10)
         self.assertLessEqual(calls, 30)
 
@@ -250,7 +250,7 @@
     def test_the_acknowledgement_of_an_end_is_asked_for_soon(self) -> None:
         play = Play()
         play.ready()
-        play.answer(play.only(Hold), finished=(End(1, TASK, 1, How.DONE, ""),))
+        play.answer(play.only(Hold), finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         play.pass_time(50)
         self.assertEqual(2, len(play.reports), "the end, and the question whether it is durable")
         play.order(last_seen=1)
@@ -262,7 +262,7 @@
     def test_ends_that_nobody_acknowledges_are_asked_about_for_half_a_second(self) -> None:
         play = Play()
         play.ready()
-        play.answer(play.only(Hold), finished=(End(1, TASK, 1, How.DONE, ""),))
+        play.answer(play.only(Hold), finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         play.pass_time(10_000)
         self.assertLessEqual(len(play.reports), 13 + 24)
 
--- a/tests/system/test_agent_incarnations.py
+++ b/tests/system/test_agent_incarnations.py
@@ -6,7 +6,7 @@
 
 from flintfield.agent.events import AnswerKind, Deregistered, Heartbeat, Hold, RunStart, RunStop
 from flintfield.agent.limits import AgentLimits
-from flintfield.jobs.messages import End, How, Outcome, StartOrder, StopOrder
+from flintfield.jobs.messages import End, Outcome, RunResult, StartOrder, StopOrder
 
 from .support.agent_play import HOLD_MAX_MS, START_MS, TASK, Play, worker_state
 
@@ -124,7 +124,7 @@
     def test_the_last_ends_of_a_deregistered_worker_are_reported(self) -> None:
         play = Play()
         play.ready()
-        play.answer(play.only(Hold), finished=(End(1, TASK, 1, How.STOPPED, "00"),))
+        play.answer(play.only(Hold), finished=(End(1, TASK, 1, RunResult.STOPPED, "00"),))
         play.step(Deregistered("i-1"))
         play.pass_time(5)
         assert play.reports[-1].worker is not None
--- a/tests/system/test_agent_parts.py
+++ b/tests/system/test_agent_parts.py
@@ -9,7 +9,7 @@
 
 from flintfield.agent.clock import WorkerClock
 from flintfield.agent.listing import MAX_ENDS, Listing
-from flintfield.jobs.messages import End, How, Run
+from flintfield.jobs.messages import End, Run, RunResult
 
 from .support.agent_play import OTHER_TASK, TASK
 
@@ -56,7 +56,7 @@
     def test_an_older_answer_brings_ends_and_no_runs(self) -> None:
         listing = Listing()
         listing.take(20, (Run(TASK, 1, "", 5),), ())
-        news = listing.take(10, (Run(OTHER_TASK, 1, "", 5),), (End(1, "x", 1, How.DONE, ""),))
+        news = listing.take(10, (Run(OTHER_TASK, 1, "", 5),), (End(1, "x", 1, RunResult.DONE, ""),))
         self.assertTrue(news)
         self.assertEqual((Run(TASK, 1, "", 5),), listing.running)
         self.assertEqual(20, listing.stamp_ms)
@@ -65,7 +65,7 @@
     def test_a_run_that_ended_is_not_listed_as_running(self) -> None:
         listing = Listing()
         listing.take(20, (Run(TASK, 1, "", 5),), ())
-        listing.take(10, (), (End(1, TASK, 1, How.DONE, ""),))
+        listing.take(10, (), (End(1, TASK, 1, RunResult.DONE, ""),))
         self.assertEqual((), listing.running)
 
     def test_news_are_ends_and_runs_that_vanish(self) -> None:
@@ -77,7 +77,7 @@
 
     def test_ends_stay_until_they_are_durable(self) -> None:
         listing = Listing()
-        ends = tuple(End(number, f"t{number}", 1, How.DONE, "") for number in (1, 2, 3))
+        ends = tuple(End(number, f"t{number}", 1, RunResult.DONE, "") for number in (1, 2, 3))
         listing.take(10, (), ends)
         listing.forget(2)
         self.assertEqual((3,), tuple(end.number for end in listing.finished()))
@@ -87,7 +87,7 @@
 
     def test_the_table_of_ends_is_bounded(self) -> None:
         listing = Listing()
-        listing.take(10, (), tuple(End(n, f"t{n}", 1, How.DONE, "") for n in range(1, MAX_ENDS + 11)))
+        listing.take(10, (), tuple(End(n, f"t{n}", 1, RunResult.DONE, "") for n in range(1, MAX_ENDS + 11)))
         self.assertEqual(MAX_ENDS, len(listing.finished()))
         self.assertEqual(10, listing.overflowed)
         self.assertEqual(1, listing.finished()[0].number)
--- a/tests/system/test_agent_registry.py
+++ b/tests/system/test_agent_registry.py
@@ -21,7 +21,7 @@
 )
 from flintfield.agent.heartbeats import MalformedHeartbeat, read_heartbeat
 from flintfield.agent.registry import MAX_BODY_BYTES, Registry
-from flintfield.jobs.messages import End, How, Run
+from flintfield.jobs.messages import End, Run, RunResult
 
 WHOLE = {
     "service": "huvo11a",
@@ -160,7 +160,9 @@
         answer = read_answer(200, body, True)
         self.assertEqual(482_113, answer.clock_ms)
         self.assertEqual((Run("t", 2, "00ab", 41),), answer.running)
-        self.assertEqual((End(58, "u", 1, How.DONE, ""), End(59, "v", 3, How.ALONE, "00")), answer.finished)
+        self.assertEqual(
+            (End(58, "u", 1, RunResult.DONE, ""), End(59, "v", 3, RunResult.ALONE, "00")), answer.finished
+        )
 
     def test_lists_that_cannot_be_read_are_no_answer(self) -> None:
         for body in (
--- a/tests/system/test_jobs_listings.py
+++ b/tests/system/test_jobs_listings.py
@@ -22,12 +22,12 @@
 from flintfield.jobs.messages import (
     AgentReport,
     End,
-    How,
     JobCall,
     Method,
     OrderResult,
     Outcome,
     Run,
+    RunResult,
     StartOrder,
     StopOrder,
 )
@@ -99,7 +99,7 @@
 
     def test_an_end_is_acknowledged_once_durable(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
-        self.send(report(900), finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.send(report(900), finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         self.send(report(1_000))
         self.assertEqual(self.last_seen, 1)
         self.assertEqual(self.started(), [1])
@@ -184,7 +184,7 @@
 
     def test_an_end_after_a_gap_counts_but_last_seen_stops_at_the_gap(self) -> None:
         self.send(report(100), results=self.answered(Outcome.DONE, 90))
-        ends = (End(4, "x.0.0.0", 1, How.DONE, ""), End(9, TASK, 1, How.DONE, ""))
+        ends = (End(4, "x.0.0.0", 1, RunResult.DONE, ""), End(9, TASK, 1, RunResult.DONE, ""))
         self.send(report(900), finished=ends)
         self.send(report(1_300), finished=ends)
         self.assertEqual(self.last_seen, 4)
@@ -199,7 +199,7 @@
         self.elect(EPOCH + 1)
         self.send(report(700), running=(Run(TASK, 1, "", 1),))
         self.assertEqual(self.starts, [])
-        self.send(report(1_200), fenced_epoch=EPOCH + 1, finished=(End(1, TASK, 1, How.DONE, ""),))
+        self.send(report(1_200), fenced_epoch=EPOCH + 1, finished=(End(1, TASK, 1, RunResult.DONE, ""),))
         self.send(report(1_300), fenced_epoch=EPOCH + 1)
         self.assertEqual(self.last_seen, 1)
 
--- a/tests/system/test_observe_tables.py
+++ b/tests/system/test_observe_tables.py
@@ -8,7 +8,7 @@
 
 from flintfield.jobs.dispatcher import Dispatcher
 from flintfield.jobs.messages import Method, NotDispatcher
-from flintfield.jobs.recorder import Happening
+from flintfield.jobs.recorder import JobEvent
 from flintfield.jobs.states import RunState, TaskState
 from flintfield.observe.history import JobHistory
 from flintfield.observe.messages import JobDetail, Jobs, WaitReason, WorkerCondition, Workers
@@ -137,7 +137,7 @@
         self.assertEqual(detail.job.state, "completed")
         self.assertEqual(
             [event.happening for event in detail.events],
-            [Happening.ACCEPTED, Happening.PLACED, Happening.RUN_ENDED, Happening.JOB_ENDED],
+            [JobEvent.ACCEPTED, JobEvent.PLACED, JobEvent.RUN_ENDED, JobEvent.JOB_ENDED],
         )
         placed, ended = detail.events[1], detail.events[2]
         self.assertEqual((placed.run, placed.epoch, ended.detail), (1, 1, "done"))
@@ -177,7 +177,7 @@
         successor.restore(dict(world.store))
         detail = job_detail(successor, job_id(1))
         (event,) = detail.events
-        self.assertEqual((event.happening, event.epoch, detail.epoch), (Happening.INHERITED, 1, 2))
+        self.assertEqual((event.happening, event.epoch, detail.epoch), (JobEvent.INHERITED, 1, 2))
         self.assertEqual([run.epoch for run in detail.runs], [1])
 
     def test_a_dispatcher_without_a_recorder_tells_the_rest(self) -> None:
--- a/tests/system/test_transport_records.py
+++ b/tests/system/test_transport_records.py
@@ -154,7 +154,7 @@
 
     def test_the_messages_about_jobs_are_records(self) -> None:
         run = messages.Run("5c0e.0.1.17", 2, "saved", 41)
-        end = messages.End(9, "5c0e.0.1.9", 1, messages.How.DONE, "")
+        end = messages.End(9, "5c0e.0.1.9", 1, messages.RunResult.DONE, "")
         worker = messages.WorkerState("i-1", "s", "10.0.0.1:80", "zone", False, 1, 2, 3, ("a",), 0, 8, 0)
         result = messages.OrderResult(1, messages.Outcome.ROOM, 5)
         for message in (
