--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -34,7 +34,7 @@
 from flintfield.placement import health, market
 from flintfield.placement.candidates import CandidateFinder
 from flintfield.placement.health import HealthTable
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.placement.prices import PriceTable
 from flintfield.placement.speeds import SpeedTable
 
@@ -62,7 +62,7 @@
     return answer
 
 
-def _equal_shares(_: Market, __: object, candidates: typing.Any, *___: object) -> list[float]:
+def _equal_shares(_: MarketPlacement, __: object, candidates: typing.Any, *___: object) -> list[float]:
     """Every candidate is as good as the others."""
     return [1.0] * len(candidates.workers)
 
@@ -74,15 +74,15 @@
         Replacement(SpeedTable, "note_done", _nothing),
         Replacement(SpeedTable, "note_slowness", _nothing),
     ),
-    "shares": (Replacement(Market, "_shares_of", _equal_shares),),
+    "shares": (Replacement(MarketPlacement, "_shares_of", _equal_shares),),
     "trust": (
         Replacement(HealthTable, "untrusted", _always(frozenset())),
         Replacement(HealthTable, "trusted", _always(True)),
     ),
     "probing runs": (Replacement(CandidateFinder, "probe", _nothing),),
-    "suspicion by rate": (Replacement(health, "FALSE_ALARM_S", 0.0),),
-    "waiting for a better worker": (Replacement(market, "SLOW", math.inf),),
-    "packing": (Replacement(market, "MOST_COMPARED", 1),),
+    "suspicion by rate": (Replacement(health, "MEAN_TIME_BETWEEN_FALSE_ALARMS_S", 0.0),),
+    "waiting for a better worker": (Replacement(market, "SLOWNESS_THRESHOLD", math.inf),),
+    "packing": (Replacement(market, "MAX_COMPARED", 1),),
     "waiting for racks": (Replacement(RackWaits, "may_wait_for_rack", _always(False)),),
     "back-off": (Replacement(RunEnds, "_backoff", _always(0)),),
     "preemption": (Replacement(Preemption, "make_room", _nothing),),
--- a/benchmarks/decision_model.py
+++ b/benchmarks/decision_model.py
@@ -32,7 +32,7 @@
 from flintfield.jobs.messages import AgentOrders, AgentReport, JobCall, Method, RunResult, WorkerState
 from flintfield.jobs.states import JobState
 from flintfield.jobs.timing import logged_times
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 HOST = "model"
 WALL_0 = 1_700_000_000_000
@@ -267,9 +267,9 @@
         self.feed(CallArrived(number, JobCall(Method.SUBMIT, HOST, path, body, 1)))
 
 
-def make_market(seed: int, deployment: Deployment) -> Market:
+def make_market(seed: int, deployment: Deployment) -> MarketPlacement:
     """The policy as deployed."""
-    return Market(seed, deployment.far_x)
+    return MarketPlacement(seed, deployment.far_x)
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -9,7 +9,7 @@
 import time
 
 from flintfield.placement.interface import Demand, Resources, Worker
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 FLEETS = (6, 65, 1_400)
 DECISIONS = 3_000
@@ -30,7 +30,7 @@
 
 def measure(count: int, load: float) -> str:
     """Medians and 99th percentiles in microseconds: choose, choose_gang of four, tick."""
-    market, workers = Market(1), fleet(count, load)
+    market, workers = MarketPlacement(1), fleet(count, load)
     chosen, gangs, ticks = list[float](), list[float](), list[float]()
     for at in range(DECISIONS):
         now_ms = 20 * at
@@ -44,7 +44,7 @@
         chosen.append(time.perf_counter() - began)
         if at % 10 == 0:
             gang = [
-                Demand(f"g{at}.0.0.{member}", "service", "queue0", 0, TASK, 2_000, together=True)
+                Demand(f"g{at}.0.0.{member}", "service", "queue0", 0, TASK, 2_000, same_rack=True)
                 for member in range(4)
             ]
             began = time.perf_counter()
--- a/benchmarks/placement_model.py
+++ b/benchmarks/placement_model.py
@@ -244,7 +244,7 @@
                 resources,
                 int(works[at] * job.error),
                 affinity=job.rack,
-                together=job.gang,
+                same_rack=job.gang,
                 group=(job.name, 0, job.step),
             )
             for at in range(width)
@@ -337,7 +337,7 @@
             result = run.ends if run.ends == Result.DONE or place in at_fault else "broken"
             self.policy.note_end(demand, place, result, self.now_ms - run.started_ms, int(self.now_ms))
             if result not in (Result.DONE, "broken"):
-                task.demands[at] = replace(demand, avoid=demand.avoid | {place})
+                task.demands[at] = replace(demand, avoided_instances=demand.avoided_instances | {place})
         if run.ends == Result.DONE:
             self._done(task)
         else:
--- a/benchmarks/placement_policies.py
+++ b/benchmarks/placement_policies.py
@@ -7,7 +7,7 @@
 
 from flintfield.placement.gangs import Option, place_gang
 from flintfield.placement.interface import Demand, Placement, Worker
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 Order = Callable[[Worker], float]
 
@@ -45,10 +45,10 @@
             for worker in workers.values()
             if worker.ready and worker.service == first.service
         ]
-        sound = [option for option in options if option.worker.instance not in first.avoid]
+        sound = [option for option in options if option.worker.instance not in first.avoided_instances]
         return place_gang(demands, sound) or place_gang(demands, options)
 
-    def trusted(self, instance: str, now_ms: int) -> bool:
+    def is_trusted(self, instance: str, now_ms: int) -> bool:
         """Everybody is."""
         return True
 
@@ -76,7 +76,7 @@
 
 
 POLICIES: dict[str, Callable[[int], Placement]] = {
-    "market": Market,
+    "market": MarketPlacement,
     "first-fit": first_fit,
     "random": random_fit,
     "least-loaded": least_loaded,
--- a/benchmarks/system_agent_bytes.py
+++ b/benchmarks/system_agent_bytes.py
@@ -25,7 +25,7 @@
 from flintfield.jobs.dispatcher import Dispatcher
 from flintfield.jobs.events import CallArrived, ReportArrived, SendOrders, Tick, Write, Written
 from flintfield.jobs.messages import AgentOrders, JobCall, Method, StartOrder
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.transport.frames import HEADER
 from flintfield.transport.records import decode, encode
 
@@ -88,7 +88,12 @@
 
     def __init__(self, workers: int) -> None:
         self.dispatcher = Dispatcher(
-            1, 0, DispatcherBounds(backlog_ms=BACKLOG_MS * 1_000), Market(1), random.Random(1), Teams(1)
+            1,
+            0,
+            DispatcherBounds(backlog_ms=BACKLOG_MS * 1_000),
+            MarketPlacement(1),
+            random.Random(1),
+            Teams(1),
         )
         self.calls = 0
         self.fleet = {worker.machine: worker for worker in hollow_workers(workers, 1, 1)}
--- a/benchmarks/system_dispatch_load.py
+++ b/benchmarks/system_dispatch_load.py
@@ -32,7 +32,7 @@
 from flintfield.jobs.events import Answer, CallArrived, Event, ReportArrived, SendOrders, Tick, Write, Written
 from flintfield.jobs.messages import AgentOrders, JobCall, Method
 from flintfield.jobs.state import Counters
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.transport.frames import HEADER
 from flintfield.transport.records import decode, encode
 
@@ -77,7 +77,9 @@
         self._calls = 0
         self._waiting: deque[tuple[str, Event | None, bytes, float]] = deque()  # grows while it is too slow
         bounds = DispatcherBounds(backlog_ms=backlog_ms)
-        self.dispatcher = Dispatcher(1, 0, bounds, Market(seed), random.Random(seed), Teams(services))
+        self.dispatcher = Dispatcher(
+            1, 0, bounds, MarketPlacement(seed), random.Random(seed), Teams(services)
+        )
         for worker in self.fleet.values():
             worker.list_every = list_every
             self._at(self.rng.uniform(0, 500), partial(self._report_due, worker))
--- a/flintfield/jobs/demands.py
+++ b/flintfield/jobs/demands.py
@@ -37,7 +37,7 @@
         return False
     if any(label not in worker.labels for label in demand.needs):
         return False
-    if demand.at_most and worker.held.get(demand.group, 0) >= demand.at_most:
+    if demand.max_per_worker and worker.task_counts.get(demand.group, 0) >= demand.max_per_worker:
         return False
     return has_room(worker, demand)
 
--- a/flintfield/jobs/gangs.py
+++ b/flintfield/jobs/gangs.py
@@ -68,18 +68,18 @@
     def _first_fit(self, queue: ServiceQueue, demands: list[Demand]) -> list[Worker] | None:
         """Workers with capacity for all members, trusted ones first, ignoring the placement policy."""
         demand, now = demands[0], self._state.now_ms  # all members have the same demand
-        avoid = frozenset().union(*(each.avoid for each in demands))
+        avoid = frozenset().union(*(each.avoided_instances for each in demands))
         eligible = [worker for worker in queue.workers.values() if can_place(worker, demand)]
         eligible.sort(
             key=lambda worker: (
                 worker.instance in avoid,
-                not self._state.placement.trusted(worker.instance, now),
+                not self._state.placement.is_trusted(worker.instance, now),
             )
         )
         chosen: list[Worker] = []
         for worker in eligible:
             free = worker.capacity.minus(worker.used)
-            places = _members_that_fit(free, demand, worker.held.get(demand.group, 0))
+            places = _members_that_fit(free, demand, worker.task_counts.get(demand.group, 0))
             chosen += [worker] * min(places, len(demands) - len(chosen))
         return chosen if len(chosen) == len(demands) and _can_place_all(demands, chosen) else None
 
@@ -199,7 +199,7 @@
     fits = min(
         (available // required for available, required in pairs if required), default=UNLIMITED_MEMBERS
     )
-    return min(fits, demand.at_most - held) if demand.at_most else fits
+    return min(fits, demand.max_per_worker - held) if demand.max_per_worker else fits
 
 
 def _can_place_all(demands: list[Demand], chosen: list[Worker]) -> bool:
@@ -218,6 +218,6 @@
         together = Resources(asked.cpu * count, asked.memory_mb * count, asked.gpu * count)
         if not worker.used.plus(together).fits(worker.capacity):
             return False
-        if demand.at_most and worker.held.get(demand.group, 0) + count > demand.at_most:
+        if demand.max_per_worker and worker.task_counts.get(demand.group, 0) + count > demand.max_per_worker:
             return False
     return True
--- a/flintfield/jobs/moves.py
+++ b/flintfield/jobs/moves.py
@@ -109,7 +109,7 @@
         demand = demand_of(run.task)
         workers = self._state.service(demand.service).workers
         return any(
-            name != run.instance and name not in demand.avoid and can_place(worker, demand)
+            name != run.instance and name not in demand.avoided_instances and can_place(worker, demand)
             for name, worker in workers.items()
         )
 
--- a/flintfield/jobs/preemption.py
+++ b/flintfield/jobs/preemption.py
@@ -89,12 +89,12 @@
         for run in self._state.workers[worker.instance].runs.values():
             if run.state is RunState.STOPPING:
                 free = free.plus(run.resources)
-        return Room(worker, free, worker.held.get(demand.group, 0), [])
+        return Room(worker, free, worker.task_counts.get(demand.group, 0), [])
 
     def _cheapest(self, rooms: list[Room], demand: Demand, step: Step) -> tuple[Room, list[Run]] | None:
         best: tuple[float, Room, list[Run]] | None = None
         for room in rooms:
-            if demand.at_most and room.held >= demand.at_most:
+            if demand.max_per_worker and room.held >= demand.max_per_worker:
                 continue
             found = self._cheapest_victims(room, demand, step)
             if found is None:
--- a/flintfield/jobs/speculation.py
+++ b/flintfield/jobs/speculation.py
@@ -59,10 +59,12 @@
         queue = state.service(demand.service)
         if queue.steps:
             return  # other tasks wait for capacity
-        demand = replace(demand, avoid=demand.avoid | {run.instance for run in task.runs})
+        demand = replace(
+            demand, avoided_instances=demand.avoided_instances | {run.instance for run in task.runs}
+        )
         instance = state.placement.choose(demand, state.placeable, state.now_ms)
         worker = queue.workers.get(instance or "")
-        if worker is None or worker.instance in demand.avoid or not can_place(worker, demand):
+        if worker is None or worker.instance in demand.avoided_instances or not can_place(worker, demand):
             return
         state.counters.copies += 1
         self._ends.runs.place(task, demand, worker, task.last_run + 1, task.checkpoint)
--- a/flintfield/jobs/starts.py
+++ b/flintfield/jobs/starts.py
@@ -176,14 +176,14 @@
 
     def _least_used(self, queue: ServiceQueue, demand: Demand) -> tuple[Demand, Worker] | None:
         """The least used worker that fits, trusted ones first, those where this task failed last."""
-        trusted, now = self._state.placement.trusted, self._state.now_ms
+        trusted, now = self._state.placement.is_trusted, self._state.now_ms
         fitting = [worker for worker in queue.workers.values() if can_place(worker, demand)]
         if not fitting:
             return None
         best = min(
             fitting,
             key=lambda worker: (
-                worker.instance in demand.avoid,
+                worker.instance in demand.avoided_instances,
                 not trusted(worker.instance, now),
                 worker.used.cpu / max(worker.capacity.cpu, 1),
             ),
--- a/flintfield/jobs/state.py
+++ b/flintfield/jobs/state.py
@@ -224,7 +224,7 @@
         worker = record.worker
         worker.used = worker.used.plus(run.resources)
         group = run.task.step.group
-        worker.held[group] = worker.held.get(group, 0) + 1
+        worker.task_counts[group] = worker.task_counts.get(group, 0) + 1
 
     def uncount_run(self, run: Run) -> None:
         """Remove a run's resources from the use of its worker."""
@@ -234,11 +234,11 @@
         worker = record.worker
         worker.used = worker.used.minus(run.resources)
         group = run.task.step.group
-        held = worker.held.get(group, 0) - 1
+        held = worker.task_counts.get(group, 0) - 1
         if held > 0:
-            worker.held[group] = held
+            worker.task_counts[group] = held
         else:
-            worker.held.pop(group, None)
+            worker.task_counts.pop(group, None)
         self.service(worker.service).dirty = True
 
     def answer(self, status: int, body: bytes = b"{}", retry_after_ms: int = 0) -> JobAnswer:
--- a/flintfield/observe/tables.py
+++ b/flintfield/observe/tables.py
@@ -27,7 +27,7 @@
 from flintfield.observe.questions import PAGE_ROWS, AskJobs, AskWorkers
 from flintfield.observe.times import job_times
 from flintfield.observe.waiting import wait_reason
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 MOST_TASKS_READ = 2_000  # of one job, for one answer: some milliseconds
 QUEUED, RUNNING = "queued", "running"
@@ -85,8 +85,8 @@
 
 def _worker_row(state: DispatcherState, record: WorkerRecord) -> WorkerRow:
     worker = record.worker
-    market = state.placement if isinstance(state.placement, Market) else None
-    trusted = state.placement.trusted(worker.instance, state.now_ms)
+    market = state.placement if isinstance(state.placement, MarketPlacement) else None
+    trusted = state.placement.is_trusted(worker.instance, state.now_ms)
     leaves_in_ms = max(0, record.leaves_ms - state.now_ms) if record.draining else -1
     return WorkerRow(
         worker.instance,
--- a/flintfield/observe/waiting.py
+++ b/flintfield/observe/waiting.py
@@ -34,7 +34,7 @@
         left = [worker for worker in left if passes(worker, demand)]
         if not left:
             return reason
-    if not any(state.placement.trusted(worker.instance, state.now_ms) for worker in left):
+    if not any(state.placement.is_trusted(worker.instance, state.now_ms) for worker in left):
         return WaitReason.QUARANTINE
     return WaitReason.GANG if _is_gang(task.step) else WaitReason.POLICY
 
@@ -56,7 +56,7 @@
 
 
 def _below_bound(worker: Worker, demand: Demand) -> bool:
-    return not demand.at_most or worker.held.get(demand.group, 0) < demand.at_most
+    return not demand.max_per_worker or worker.task_counts.get(demand.group, 0) < demand.max_per_worker
 
 
 _BOUNDS = (
--- a/flintfield/placement/candidates.py
+++ b/flintfield/placement/candidates.py
@@ -75,14 +75,19 @@
         """Trusted workers that can take the task now, except those where it has failed."""
         group = self._index.group(demand)
         if len(group) <= FULL_SCAN_MAX_WORKERS:
-            return self._filter(demand, group, workers, len(group), demand.avoid)
+            return self._filter(demand, group, workers, len(group), demand.avoided_instances)
         if self._is_unplaceable(demand, now_ms):
             return Candidates()
         scan_order: Iterable[str] = scan_from_random_start(group, self._generator)
         if demand.affinity:
             scan_order = _rack_first(self._index.rack_members(demand.service, demand.affinity), scan_order)
-        found = self._filter(demand, scan_order, workers, ENOUGH_CANDIDATES, demand.avoid)
-        if not found and not demand.avoid and not demand.at_most and len(self._unplaceable) < MAX_UNPLACEABLE:
+        found = self._filter(demand, scan_order, workers, ENOUGH_CANDIDATES, demand.avoided_instances)
+        if (
+            not found
+            and not demand.avoided_instances
+            and not demand.max_per_worker
+            and len(self._unplaceable) < MAX_UNPLACEABLE
+        ):
             self._unplaceable.add((demand.service, demand.needs, demand.resources))
         return found
 
@@ -96,7 +101,7 @@
 
     def last_resort(self, demand: Demand, workers: dict[str, Worker]) -> Candidates:
         """Workers where the task has failed and untrusted ones, if they can take it."""
-        excluded = sorted(demand.avoid | self._health.untrusted(demand.service))
+        excluded = sorted(demand.avoided_instances | self._health.untrusted(demand.service))
         return self._filter(demand, excluded, workers, ENOUGH_CANDIDATES, frozenset(), trusted_only=False)
 
     def probe(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
@@ -105,7 +110,7 @@
         if not untrusted:
             return None
         mean = self._learn_estimate(demand)
-        if demand.avoid or demand.estimate_ms > PROBE_MAX_ESTIMATE_RATIO * mean:
+        if demand.avoided_instances or demand.estimate_ms > PROBE_MAX_ESTIMATE_RATIO * mean:
             return None
         due = self._health.due_for_probe(demand.service, now_ms)
         found = self._filter(demand, due, workers, 1, frozenset(), trusted_only=False)
@@ -135,7 +140,7 @@
                 worker is not None
                 and worker.ready
                 and instance not in untrusted
-                and instance not in demand.avoid
+                and instance not in demand.avoided_instances
                 and demand.resources.fits(worker.capacity)
             ):
                 return True
@@ -145,7 +150,7 @@
         """Factor by which the task takes longer on a rack other than that of its data or its step."""
         if demand.affinity and worker.rack != demand.affinity:
             return self._far_x
-        if demand.together and demand.siblings and demand.siblings != {worker.rack}:
+        if demand.same_rack and demand.siblings and demand.siblings != {worker.rack}:
             return self._far_x
         return 1.0
 
@@ -161,8 +166,8 @@
         """Apply the hard constraints. Hot path: one pass, no function calls for workers ruled out early."""
         needs, service, resources = demand.needs, demand.service, demand.resources
         cpu, memory_mb, gpu = resources.cpu, resources.memory_mb, resources.gpu
-        at_most, group_key = demand.at_most, demand.group
-        may_be_far = bool(demand.affinity) or (demand.together and bool(demand.siblings))
+        at_most, group_key = demand.max_per_worker, demand.group
+        may_be_far = bool(demand.affinity) or (demand.same_rack and bool(demand.siblings))
         untrusted = self._health.untrusted(service) if trusted_only else _NO_WORKERS
         prices, zetas = self._prices.prices, self._speeds.zeta
         found = Candidates()
@@ -186,7 +191,7 @@
                 continue
             if needs and not worker.labels.issuperset(needs):
                 continue
-            if at_most and worker.held.get(group_key, 0) >= at_most:
+            if at_most and worker.task_counts.get(group_key, 0) >= at_most:
                 continue
             zeta = zetas.get(instance, 1.0)
             if may_be_far:
--- a/flintfield/placement/gangs.py
+++ b/flintfield/placement/gangs.py
@@ -71,10 +71,10 @@
             continue
         if demand.needs and not worker.labels.issuperset(demand.needs):
             continue
-        held = worker.held.get(demand.group, 0) + (
+        held = worker.task_counts.get(demand.group, 0) + (
             usage.held.get(demand.group, 0) if usage is not None else 0
         )
-        if demand.at_most and held >= demand.at_most:
+        if demand.max_per_worker and held >= demand.max_per_worker:
             continue
         if usage is None:
             usage = usages[worker.instance] = _WorkerUsage(used, {})
--- a/flintfield/placement/health.py
+++ b/flintfield/placement/health.py
@@ -27,7 +27,7 @@
 SUSPECT_TASK_RATE = 0.6  # P(fails | healthy) for a task or job that has failed before and never succeeded
 RATE_GAIN = 0.05  # weight of one end in a service's failure rate (exponential smoothing)
 EVEN_ODDS = 0.0
-FALSE_ALARM_S = 600.0  # target for the mean time between false alarms on a healthy worker
+MEAN_TIME_BETWEEN_FALSE_ALARMS_S = 600.0  # target for the mean time between false alarms on a healthy worker
 END_RATE_HALF_LIFE_MS = 10_000.0  # of the decaying count of ends, from which their rate is computed
 UNTRUSTED_DIVISOR = 3  # at most one in this many of a service's workers may be untrusted
 BACK_OFF_MS = 1_500.0  # before the first probing run
@@ -195,7 +195,7 @@
 
     def _alarm_odds(self, service: str, workers: int) -> float:
         """The log odds above which a worker is quarantined."""
-        ends = self._end_rate(service).per_s / max(1, workers) * FALSE_ALARM_S
+        ends = self._end_rate(service).per_s / max(1, workers) * MEAN_TIME_BETWEEN_FALSE_ALARMS_S
         return max(EVEN_ODDS, PRIOR_ODDS + math.log(max(1.0, ends)))
 
     def _job(self, task: str) -> _Job:
--- a/flintfield/placement/interface.py
+++ b/flintfield/placement/interface.py
@@ -34,7 +34,8 @@
 
     `used` includes every run that may be on the worker: ordered, running, being stopped, or in an unknown
     state. `ready` is False while the worker drains, sends nothing, or its agent is disconnected. `rack` is
-    the label that names its rack. `held` counts the worker's tasks by `(job, time, step)`, for anti-affinity.
+    the label that names its rack. `task_counts` counts the worker's tasks by `(job, time, step)`, for
+    anti-affinity.
     """
 
     instance: str
@@ -46,7 +47,7 @@
     capacity: Resources
     used: Resources = field(default_factory=Resources)
     ready: bool = True
-    held: dict[tuple[str, int, int], int] = field(default_factory=dict)
+    task_counts: dict[tuple[str, int, int], int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,11 +55,12 @@
     """A task that is ready to start.
 
     `needs` are the required labels (usually none or one); `affinity` names a preferred rack or is "";
-    `together` is True if all tasks of the step should be on one rack; `siblings` are the racks where other
-    tasks of that step run now. `at_most` is the anti-affinity limit per worker (0: no limit) on tasks of the
-    key `group` = (job, time, step). `avoid` are the instances where earlier runs of this task failed, stalled
-    or were lost. `priority` is the queue's priority (0 is the highest); `client` is the queue's name, for
-    which shares are computed. `estimate_ms` is the client's rough estimate of the running time.
+    `same_rack` is True if all tasks of the step should be on one rack; `siblings` are the racks where other
+    tasks of that step run now. `max_per_worker` is the anti-affinity limit per worker (0: no limit) on tasks
+    of the key `group` = (job, time, step). `avoided_instances` are the instances where earlier runs of this
+    task failed, stalled or were lost. `priority` is the queue's priority (0 is the highest); `client` is the
+    queue's name, for which shares are computed. `estimate_ms` is the client's rough estimate of the running
+    time.
     """
 
     task: str
@@ -69,11 +71,11 @@
     estimate_ms: int
     needs: tuple[str, ...] = ()
     affinity: str = ""
-    together: bool = False
+    same_rack: bool = False
     siblings: frozenset[str] = frozenset()
-    at_most: int = 0
+    max_per_worker: int = 0
     group: tuple[str, int, int] = ("", 0, 0)
-    avoid: frozenset[str] = frozenset()
+    avoided_instances: frozenset[str] = frozenset()
 
 
 class Result:
@@ -105,5 +107,5 @@
     ) -> list[str] | None:
         """An instance for each demand, or None if the gang can't be placed as a whole."""
 
-    def trusted(self, instance: str, now_ms: int) -> bool:
+    def is_trusted(self, instance: str, now_ms: int) -> bool:
         """False while the worker is quarantined or probed after failed or stalled runs."""
--- a/flintfield/placement/market.py
+++ b/flintfield/placement/market.py
@@ -30,8 +30,9 @@
 
 FAR_X = 1.5  # factor on the running time on another rack than that of the task's data or step
 SIMILAR_SHARE = 0.9  # shares whose ratio to the drawn one is between this and its inverse count as equal
-MOST_COMPARED = 6  # workers with similar shares that are compared by stranded room
-SLOW = 3.0  # a task waits for another worker if the drawn one is this many times as slow as the mean
+MAX_COMPARED = 6  # workers with similar shares that are compared by stranded room
+# A task waits for another worker if the drawn one is this many times as slow as the mean.
+SLOWNESS_THRESHOLD = 3.0
 WAIT_FRACTION = 0.5  # of a task's estimate: the longest wait for a faster worker
 OVERDUE_WEIGHT = 0.5  # of an overdue run as evidence, relative to a completion
 BAD_END_SLOWNESS = 2.0  # a run that failed, stalled or was lost counts as one that took twice the time
@@ -40,7 +41,7 @@
 WORKERS_PER_TICK = 64  # whose prices are updated in one tick; a larger fleet is updated in rotation
 
 
-class Market:
+class MarketPlacement:
     """Placement by prices and shares; see `flintfield.placement.interface.Placement`. Not thread-safe."""
 
     def __init__(self, seed: int, far_x: float = FAR_X) -> None:
@@ -81,7 +82,7 @@
                 )
         elif result in (Result.FAILED, Result.STALLED):
             workers = len(self._index.members(demand.service))
-            failed_elsewhere = bool(demand.avoid - {instance})
+            failed_elsewhere = bool(demand.avoided_instances - {instance})
             weight = self.health.note_failure(
                 instance, demand.service, demand.task, failed_elsewhere, workers, now_ms
             )
@@ -124,7 +125,7 @@
         if not candidates:
             return self._last_resort(demand, workers, now_ms)
         index = self._draw(demand, candidates, workers, now_ms)
-        if self.speeds.zeta.get(candidates.workers[index].instance, 1.0) * SLOW < 1.0:
+        if self.speeds.zeta.get(candidates.workers[index].instance, 1.0) * SLOWNESS_THRESHOLD < 1.0:
             limit_ms = WAIT_FRACTION * demand.estimate_ms
             if self._waiting.may_wait(demand.task, limit_ms, now_ms):
                 return None
@@ -138,14 +139,14 @@
             return []
         self._refresh_index(workers)
         first = demands[0]
-        avoid = frozenset().union(*(demand.avoid for demand in demands))
+        avoid = frozenset().union(*(demand.avoided_instances for demand in demands))
         placed = self._place_gang(demands, self._finder.find_for_gang(first, workers, avoid), workers, now_ms)
         if placed is None and avoid and not self._waiting.may_wait(first.task, MAX_WAIT_MS, now_ms):
             candidates = self._finder.find_for_gang(first, workers, frozenset())
             placed = self._place_gang(demands, candidates, workers, now_ms)
         return placed
 
-    def trusted(self, instance: str, now_ms: int) -> bool:
+    def is_trusted(self, instance: str, now_ms: int) -> bool:
         """False while the worker is quarantined or probed after failed or stalled runs."""
         return self.health.trusted(instance)
 
@@ -173,7 +174,7 @@
                 if stranding < best_stranding:
                     best, best_stranding = index, stranding
                 compared += 1
-                if compared >= MOST_COMPARED:
+                if compared >= MAX_COMPARED:
                     break
         return best
 
@@ -197,7 +198,7 @@
             return None
         shares = self._shares_of(demands[0], candidates, workers, now_ms)
         options = list(map(Option, candidates.workers, shares))
-        if any(demand.together for demand in demands):
+        if any(demand.same_rack for demand in demands):
             placed = place_on_one_rack(demands, options)
             if placed is not None:
                 return placed
--- a/flintfield/programs/scheduler.py
+++ b/flintfield/programs/scheduler.py
@@ -38,7 +38,7 @@
 from flintfield.observe.service import ObserveService
 from flintfield.jobs.bounds import DispatcherBounds
 from flintfield.jobs.state import Counters
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.programs.early_signals import take_reload
 from flintfield.runtime import logs
 from flintfield.runtime.clock import steady_ms, wall_ms
@@ -108,7 +108,7 @@
         self._dispatch = DispatchService(
             bounds=dispatcher_bounds(settings),
             configuration=self._current_configuration,
-            make_placement=partial(Market, far_x=settings.bounds.far_x),
+            make_placement=partial(MarketPlacement, far_x=settings.bounds.far_x),
             steady_ms=steady_ms,
             rng=generator,
             leader_address=self._leader_address,
--- a/flintfield/simulation/explore/takeover_dispatcher.py
+++ b/flintfield/simulation/explore/takeover_dispatcher.py
@@ -15,7 +15,7 @@
 from flintfield.jobs.bounds import DispatcherBounds
 from flintfield.jobs.dispatcher import Dispatcher
 from flintfield.jobs.messages import AgentOrders, JobCall, Method
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.simulation.clock import WALL_START_MS
 from flintfield.simulation.operator import first_document
 from flintfield.simulation.scenario import HOST
@@ -43,7 +43,7 @@
         self.epoch += 1
         bounds = DispatcherBounds(hold_max_ms=HOLD_MAX_MS)
         self.dispatcher = Dispatcher(
-            self.epoch, self.clock(), bounds, Market(1), random.Random(1), self.configuration
+            self.epoch, self.clock(), bounds, MarketPlacement(1), random.Random(1), self.configuration
         )
         self.dispatcher.restore(dict(self.store))
         self.tick()
--- a/flintfield/simulation/scheduler.py
+++ b/flintfield/simulation/scheduler.py
@@ -26,7 +26,7 @@
 from flintfield.ingress.messages import Reply, Request
 from flintfield.ingress.server import IngressServer
 from flintfield.jobs.bounds import DispatcherBounds
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.runtime.settings import Bounds as SettingsBounds
 from flintfield.runtime.settings import NodeSettings
 from flintfield.simulation.disk import SimulatedStore
@@ -63,7 +63,7 @@
                 early_ms=bounds.early_ms,
             ),
             self._current,
-            Market,
+            MarketPlacement,
             self.steady_ms,
             self.rng,
             self._leader_address,
--- a/tests/system/jobs_world.py
+++ b/tests/system/jobs_world.py
@@ -28,7 +28,7 @@
 )
 from flintfield.jobs.messages import AgentReport, JobAnswer, JobCall, Method, WorkerState
 from flintfield.placement.interface import Placement
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 from .jobs_fleet import JITTER_MS, Fleet
 from .jobs_worker import ObservedRun
@@ -85,7 +85,7 @@
         machines: int = 3,
         cpu: int = 4_000,
         service: str = "svc",
-        placement: Callable[[int], Placement] = Market,
+        placement: Callable[[int], Placement] = MarketPlacement,
         hold_max_ms: int = 6_000,
     ) -> None:
         super().__init__(seed, service, hold_max_ms)
--- a/tests/system/test_dispatch_service.py
+++ b/tests/system/test_dispatch_service.py
@@ -20,7 +20,7 @@
     Method,
     NotDispatcher,
 )
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 from .jobs_world import HOST, WALL_0, ConfigurationModel, job_id, report
 
@@ -78,7 +78,7 @@
         self.service = DispatchService(
             DispatcherBounds(),
             lambda: self.configuration,
-            Market,
+            MarketPlacement,
             lambda: self.now,
             random.Random(1),
             lambda: "10.0.0.9:7660",
--- a/tests/system/test_jobs_intake.py
+++ b/tests/system/test_jobs_intake.py
@@ -26,7 +26,7 @@
     Written,
 )
 from flintfield.jobs.messages import JobAnswer, JobCall, Method
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.transport.records import decode, encode
 
 from .jobs_world import HOST, WALL_0, ConfigurationModel, job_id, report
@@ -122,7 +122,7 @@
         self.answers: dict[int, JobAnswer] = {}
         self.pending: list[Write] = []
         self.dispatcher = Dispatcher(
-            epoch, self.now, self.bounds, Market(1), random.Random(1), ConfigurationModel()
+            epoch, self.now, self.bounds, MarketPlacement(1), random.Random(1), ConfigurationModel()
         )
         self.dispatcher.restore(self.items)
         self.handle(Tick(WALL_0 + self.now))
--- a/tests/system/test_jobs_listings.py
+++ b/tests/system/test_jobs_listings.py
@@ -31,7 +31,7 @@
     StartOrder,
     StopOrder,
 )
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 from .jobs_world import HOST, WALL_0, ConfigurationModel, job_id, report
 from .test_jobs_intake import body
@@ -58,7 +58,7 @@
         self.last_seen = 0
         self.granted = 0
         self.dispatcher = Dispatcher(
-            epoch, self.now, DispatcherBounds(), Market(1), random.Random(1), ConfigurationModel()
+            epoch, self.now, DispatcherBounds(), MarketPlacement(1), random.Random(1), ConfigurationModel()
         )
         self.dispatcher.restore(dict(self.items))
         self.handle(Tick(WALL_0))
--- a/tests/system/test_jobs_moves.py
+++ b/tests/system/test_jobs_moves.py
@@ -8,7 +8,7 @@
 
 from flintfield.jobs.messages import Method
 from flintfield.placement.interface import Demand, Worker
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 from .jobs_judge import Judge
 from .jobs_world import ConfigurationModel, RouteModel, Steps, World, job_id, simple
@@ -260,7 +260,7 @@
         self.assertEqual(self.world.state_of(job_id(2)), "completed")
 
 
-class AlwaysWaitPolicy(Market):
+class AlwaysWaitPolicy(MarketPlacement):
     """A placement policy that never chooses a worker."""
 
     def choose(self, demand: Demand, workers: dict[str, Worker], now_ms: int) -> str | None:
--- a/tests/system/test_observe_tables.py
+++ b/tests/system/test_observe_tables.py
@@ -15,7 +15,7 @@
 from flintfield.observe.questions import PAGE_ROWS, AskJob, AskJobs, AskWorkers
 from flintfield.observe.service import ObserveService
 from flintfield.observe.tables import MOST_TASKS_READ, job_detail, jobs_page, workers_page
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.transport.records import decode, encode
 
 from .jobs_world import World, job_id, simple
@@ -171,7 +171,7 @@
         world.submit(job_id(1), [ONE], simple(60_000))
         world.run(1_500)
         successor = Dispatcher(
-            2, world.steady, world.bounds, Market(1), random.Random(1), world.configuration
+            2, world.steady, world.bounds, MarketPlacement(1), random.Random(1), world.configuration
         )
         successor.state.recorder = JobHistory()
         successor.restore(dict(world.store))
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -5,7 +5,7 @@
 import unittest
 
 from flintfield.placement.interface import Demand, Placement, Resources, Result, Worker
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 LARGE = Resources(32_000, 65_536, 8)
 
@@ -43,7 +43,7 @@
 
 class HardConstraints(unittest.TestCase):
     def test_given_capacity_when_filled_then_no_worker_exceeds_it(self) -> None:
-        market, workers = Market(1), fleet(4)
+        market, workers = MarketPlacement(1), fleet(4)
         placed = 0
         while (instance := market.choose(task_demand := demand(f"j{placed}.0.0.0"), workers, 0)) is not None:
             start(market, workers, task_demand, instance, 0)
@@ -52,33 +52,33 @@
         self.assertTrue(all(worker.used.fits(worker.capacity) for worker in workers.values()))
 
     def test_given_workers_that_are_not_ready_when_choosing_then_they_are_left_out(self) -> None:
-        market, workers = Market(1), fleet(3)
+        market, workers = MarketPlacement(1), fleet(3)
         workers["w0"].ready = workers["w2"].ready = False
         self.assertEqual({market.choose(demand(), workers, 0) for _ in range(20)}, {"w1"})
 
     def test_given_a_required_label_when_choosing_then_only_workers_with_it_are_chosen(self) -> None:
-        market, workers = Market(1), fleet(3)
+        market, workers = MarketPlacement(1), fleet(3)
         workers["w2"].labels = frozenset({"a", "b"})
         self.assertEqual({market.choose(demand(needs=("b",)), workers, 0) for _ in range(20)}, {"w2"})
 
     def test_given_anti_affinity_when_a_worker_is_at_the_limit_then_it_is_not_chosen(self) -> None:
-        market, workers = Market(1), fleet(2)
-        workers["w0"].held[("job", 0, 0)] = 1
-        task_demand = demand(at_most=1, group=("job", 0, 0))
+        market, workers = MarketPlacement(1), fleet(2)
+        workers["w0"].task_counts[("job", 0, 0)] = 1
+        task_demand = demand(max_per_worker=1, group=("job", 0, 0))
         self.assertEqual({market.choose(task_demand, workers, 0) for _ in range(20)}, {"w1"})
-        workers["w1"].held[("job", 0, 0)] = 1
+        workers["w1"].task_counts[("job", 0, 0)] = 1
         self.assertIsNone(market.choose(task_demand, workers, 0))
 
 
 class Gangs(unittest.TestCase):
     def test_given_room_for_some_members_when_placing_a_gang_then_none_is_placed(self) -> None:
-        market, workers = Market(1), fleet(1)
+        market, workers = MarketPlacement(1), fleet(1)
         self.assertIsNone(market.choose_gang([demand(f"g.0.0.{index}") for index in range(5)], workers, 0))
 
     def test_given_racks_when_together_then_the_gang_is_placed_on_one_rack_with_room(self) -> None:
-        market, workers = Market(1), fleet(6, per_rack=3)
+        market, workers = MarketPlacement(1), fleet(6, per_rack=3)
         workers["w0"].used = workers["w1"].used = LARGE
-        gang = [demand(f"g.0.0.{index}", together=True) for index in range(6)]
+        gang = [demand(f"g.0.0.{index}", same_rack=True) for index in range(6)]
         placed = market.choose_gang(gang, workers, 0)
         assert placed is not None
         self.assertEqual({workers[instance].rack for instance in placed}, {"r1"})
@@ -86,13 +86,13 @@
 
 class Trust(unittest.TestCase):
     def test_given_failures_of_two_jobs_when_others_succeed_then_the_worker_is_quarantined(self) -> None:
-        market, workers = Market(1), fleet(6)
+        market, workers = MarketPlacement(1), fleet(6)
         market.tick(0, workers)
         for index in range(2):
             market.note_end(demand(f"ok{index}.0.0.0"), "w1", Result.DONE, 1_000.0, index)
             market.note_end(demand(f"bad{index}.0.0.0"), "w0", Result.FAILED, 10.0, index)
-        self.assertFalse(market.trusted("w0", 2))
-        self.assertTrue(market.trusted("w1", 2))
+        self.assertFalse(market.is_trusted("w0", 2))
+        self.assertTrue(market.is_trusted("w1", 2))
         self.assertNotIn("w0", {market.choose(demand(), workers, 2) for _ in range(50)})
 
 
--- a/tests/system/test_placement_learning.py
+++ b/tests/system/test_placement_learning.py
@@ -10,7 +10,7 @@
 
 from flintfield.placement.health import HealthTable
 from flintfield.placement.interface import Demand, Resources, Result, Worker
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.placement.prices import RHO, PriceTable
 from flintfield.placement.runs import Run, RunTable
 from flintfield.placement.shares import ShareTable, worth
@@ -107,7 +107,7 @@
 
     def test_given_bad_ends_when_noted_then_each_kind_lowers_zeta(self) -> None:
         for result in (Result.LOST, Result.FAILED, Result.STALLED):
-            market = Market(1)
+            market = MarketPlacement(1)
             market.note_end(demand("a.0.0.0"), "w", result, 0.0, 0)
             self.assertLess(market.speeds.zeta["w"], 1.0, result)
 
@@ -133,7 +133,7 @@
         self.assertGreater(table.shares(key, [(0.4, 0.3)])[0], 0.0)
 
     def test_given_room_everywhere_when_one_worker_is_fast_then_it_gets_most_until_it_is_full(self) -> None:
-        market, workers = Market(3), fleet(4)
+        market, workers = MarketPlacement(3), fleet(4)
         for index in range(40):
             for name in workers:
                 ran_ms = 500.0 if name == "w01" else 1_000.0
@@ -146,7 +146,7 @@
 
     def test_given_the_same_seed_and_calls_then_the_choices_are_the_same(self) -> None:
         def choices() -> list[str | None]:
-            market, workers = Market(7), fleet(70)
+            market, workers = MarketPlacement(7), fleet(70)
             return [market.choose(demand(f"j{index}.0.0.0"), workers, index) for index in range(50)]
 
         self.assertEqual(choices(), choices())
@@ -219,16 +219,18 @@
             self.assertLessEqual(len(table.untrusted("render")), count // 3)
 
     def test_given_only_avoided_workers_have_room_when_the_wait_is_over_then_one_is_chosen(self) -> None:
-        market, workers = Market(1), fleet(2)
+        market, workers = MarketPlacement(1), fleet(2)
         workers["w01"].used = FULL_CAPACITY
-        task_demand = demand("t.0.0.0", avoid=frozenset({"w00"}))
+        task_demand = demand("t.0.0.0", avoided_instances=frozenset({"w00"}))
         self.assertIsNone(market.choose(task_demand, workers, 0))
         self.assertIsNone(market.choose(task_demand, workers, 1_999))
         self.assertEqual(market.choose(task_demand, workers, 2_000), "w00")
 
     def test_given_no_other_worker_when_it_is_avoided_then_it_is_chosen_at_once(self) -> None:
-        market, workers = Market(1), fleet(1)
-        self.assertEqual(market.choose(demand("t.0.0.0", avoid=frozenset({"w00"})), workers, 0), "w00")
+        market, workers = MarketPlacement(1), fleet(1)
+        self.assertEqual(
+            market.choose(demand("t.0.0.0", avoided_instances=frozenset({"w00"})), workers, 0), "w00"
+        )
 
     def test_given_a_full_waiting_table_when_more_tasks_wait_then_the_oldest_is_dropped(self) -> None:
         table = WaitingTable()
@@ -241,7 +243,7 @@
 class Distance(unittest.TestCase):
     def test_given_data_on_a_rack_when_it_has_room_then_the_task_goes_there_else_to_another(self) -> None:
         for count in (6, 90):  # a group scanned completely; one scanned from a random position
-            market, workers = Market(1), fleet(count)
+            market, workers = MarketPlacement(1), fleet(count)
             task_demand = demand("t.0.0.0", affinity="r1")
             chosen = {market.choose(task_demand, workers, index) for index in range(30)}
             self.assertLessEqual(chosen, {"w03", "w04", "w05"}, count)
@@ -259,14 +261,14 @@
     def test_gangs_never_exceed_the_capacity_of_a_worker(
         self, jobs: list[tuple[int, int, bool]], seed: int
     ) -> None:
-        market, workers = Market(seed), fleet(5)
+        market, workers = MarketPlacement(seed), fleet(5)
         for index, (width, gpu, together) in enumerate(jobs):
             gang = [
                 demand(
                     f"j{index}.0.0.{member}",
                     resources=Resources(6_500, 9_600, gpu),
-                    together=together,
-                    at_most=2,
+                    same_rack=together,
+                    max_per_worker=2,
                     group=(f"j{index}", 0, 0),
                 )
                 for member in range(width)
@@ -277,13 +279,13 @@
             for member, name in zip(gang, placed, strict=True):
                 target = workers[name]
                 target.used = target.used.plus(member.resources)
-                target.held[member.group] = target.held.get(member.group, 0) + 1
+                target.task_counts[member.group] = target.task_counts.get(member.group, 0) + 1
                 market.note_start(member, name, index * 10)
                 self.assertTrue(target.used.fits(target.capacity))
-                self.assertLessEqual(target.held[member.group], 2)
+                self.assertLessEqual(target.task_counts[member.group], 2)
 
     def test_given_a_large_full_fleet_when_room_becomes_free_then_the_next_instant_finds_it(self) -> None:
-        market, workers = Market(1), fleet(90)
+        market, workers = MarketPlacement(1), fleet(90)
         for target in workers.values():
             target.used = FULL_CAPACITY
         self.assertIsNone(market.choose(demand("a.0.0.0"), workers, 0))
