--- a/flintfield/forwarding/bridge.py
+++ b/flintfield/forwarding/bridge.py
@@ -10,7 +10,7 @@
 from flintfield.planning.messages import Digest, Plan, Seen
 
 
-def news_of(now: float, plan: Plan) -> PlanNews:
+def plan_event(now: float, plan: Plan) -> PlanNews:
     """A plan in force as an event of the decision module; times are on the forwarder's clock."""
     rows = tuple(PlanRow(r.worker, r.share, r.price, r.others, r.most, r.pace,
                          plan.answers - r.heard_ms if r.heard_ms >= 0 else -math.inf, r.is_home)
@@ -20,7 +20,7 @@
                     tuple((lease.worker, lease.part) for lease in plan.leases))
 
 
-def digest_of(now: float, dispatcher: Planned, forwarding: Forwarding) -> Digest:
+def build_digest(now: float, dispatcher: Planned, forwarding: Forwarding) -> Digest:
     """The digest that the forwarder sends to planners now."""
     seen = [Seen(w.entry.worker, round(w.mine, 3), w.most, round(w.pace.value, 4) if w.pace.count else 0.0,
                  round(now - w.word) if w.word > -math.inf else -1.0, is_home)
--- a/flintfield/forwarding/core.py
+++ b/flintfield/forwarding/core.py
@@ -9,7 +9,7 @@
 the one with the freshest plan is taken, and among plans of similar age (within FULL_WEIGHT_MS) the one with
 the lowest place. The forwarder switches to a lower place once that planner's plans have been good for
 STABLE_MS without a gap, so all forwarders converge on the same planner.
-Bounded: MOST_PLANNERS planners, one plan per planner, the times of MAX_ANSWERABLE_DIGESTS digests.
+Bounded: MAX_PLANNERS planners, one plan per planner, the times of MAX_ANSWERABLE_DIGESTS digests.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 from flintfield.planning.leases import planner_part
 from flintfield.planning.messages import (
-    MOST_ROWS, Digest, NonsenseError, Plan, Seen, apply_delta, check_plan, proof_of,
+    MAX_ROWS, Digest, InvalidMessageError, Plan, Seen, apply_delta, check_plan, proof_of,
 )
 
-MOST_PLANNERS = 16
-DIGEST_MS = 125.0  # between digests; with 250 the goal metric at load 0.9 was 0.02 lower (20 forwarders)
+MAX_PLANNERS = 16
+DIGEST_INTERVAL_MS = 125.0  # with 250 the goal metric at load 0.9 was 0.02 lower (20 forwarders)
 FOLLOW_WEIGHT = 0.5  # a planner is followed until the weight of its plan is below this
 STABLE_MS = 3_000.0
 MAX_ANSWERABLE_DIGESTS = 64  # a plan must answer one of the latest digests, up to this many
@@ -50,11 +50,11 @@
 
     # ---------------------------------------------------------------- plans
 
-    def take(self, now: float, plan: Plan) -> str:
+    def accept_plan(self, now: float, plan: Plan) -> str:
         """Process a plan, whole or a delta; returns "" if accepted, else the reason for rejecting it."""
         try:
             accepted = self._validated(plan)
-        except NonsenseError as error:
+        except InvalidMessageError as error:
             self.counts["refused"] += 1
             self.last_refusal = f"planner {plan.place}: {error}"
             return str(error)
@@ -68,18 +68,19 @@
         return ""
 
     def _validated(self, plan: Plan) -> Plan:
-        if not 0 <= plan.place < min(self._planners, MOST_PLANNERS):
-            raise NonsenseError(f"place: found {plan.place}, expected 0 to {self._planners - 1}")
+        if not 0 <= plan.place < min(self._planners, MAX_PLANNERS):
+            raise InvalidMessageError(f"place: found {plan.place}, expected 0 to {self._planners - 1}")
         previous = self.plans.get(plan.place)
         if (term := self.terms.get(plan.place, 0)) > plan.term:
-            raise NonsenseError(f"term: found {plan.term}, expected {term} or a later one")
+            raise InvalidMessageError(f"term: found {plan.term}, expected {term} or a later one")
         if previous is not None and plan.term == previous.term and plan.number <= previous.number:
-            raise NonsenseError(f"number: found {plan.number}, expected one above {previous.number}")
+            raise InvalidMessageError(f"number: found {plan.number}, expected one above {previous.number}")
         if plan.answers not in self._digest_times:
-            raise NonsenseError("answers: matches no recently sent digest")
+            raise InvalidMessageError("answers: matches no recently sent digest")
         if plan.base:
             if previous is None or (previous.term, previous.number) != (plan.term, plan.base):
-                raise NonsenseError(f"base: found {plan.base}, expected the number of the last accepted plan")
+                raise InvalidMessageError(
+                    f"base: found {plan.base}, expected the number of the last accepted plan")
             plan = apply_delta(plan, previous)
         check_plan(plan, self._max_lease_part)
         return plan
@@ -124,15 +125,15 @@
 
     # -------------------------------------------------------------- digests
 
-    def is_due(self, now: float) -> bool:
+    def is_digest_due(self, now: float) -> bool:
         """Whether the next digest is due."""
         return now >= self._next_digest
 
     def digest(self, now: float, demand: float, seen: Iterable[Seen]) -> Digest:
-        """The next digest for all planners; at most MOST_ROWS workers, homes and the busiest first."""
-        rows = sorted(seen, key=lambda s: (-s.is_home, -s.held, s.worker))[:MOST_ROWS]
+        """The next digest for all planners; at most MAX_ROWS workers, homes and the busiest first."""
+        rows = sorted(seen, key=lambda s: (-s.is_home, -s.held, s.worker))[:MAX_ROWS]
         self._last_number += 1
-        self._next_digest = now + DIGEST_MS
+        self._next_digest = now + DIGEST_INTERVAL_MS
         self._digest_times.append(now)
         current = self.in_force(now)
         claim = None
--- a/flintfield/lab/planners.py
+++ b/flintfield/lab/planners.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from flintfield.decision.planned import Planned
-from flintfield.forwarding.bridge import digest_of, news_of
-from flintfield.forwarding.core import DIGEST_MS, Forwarding
+from flintfield.forwarding.bridge import build_digest, plan_event
+from flintfield.forwarding.core import DIGEST_INTERVAL_MS, Forwarding
 from flintfield.lab import log
 from flintfield.lab.scenario import Scenario
 from flintfield.lab.virtual.engine import Engine
@@ -28,7 +28,7 @@
 from flintfield.memory.reducer import Turn
 from flintfield.decision.interface import PlanNews
 from flintfield.planning.messages import Digest, Plan
-from flintfield.planning.planner import Listed, Planner
+from flintfield.planning.planner import ListedWorker, Planner
 from flintfield.memory.messages import worker_of
 
 STEP_MS = 125.0  # between two steps of a planner
@@ -102,7 +102,7 @@
         party.loop.at(party.loop.now + party.draws.uniform(0, STEP_MS), self._step)
 
     def hear(self, digest: Digest, teller: Scheduler) -> None:
-        if self.alive and self.planner.hear(self.party.loop.now, digest):
+        if self.alive and self.planner.receive_digest(self.party.loop.now, digest):
             self._fresh[digest.forwarder] = teller
 
     def _step(self) -> None:
@@ -113,10 +113,10 @@
         if party.is_stopped(self.place):
             return
         began = process_time()
-        self.planner.list_workers(party.listed())
+        self.planner.set_workers(party.listed())
         self.planner.step(now)
         for name, teller in self._fresh.items():
-            heard = self.planner.tellers.get(name)
+            heard = self.planner.forwarders.get(name)
             claim = heard.digest.in_force if heard else None
             other = claim is not None and claim[0] != self.place
             if other and now - self._answered.get(name, 0.0) < STANDBY_MS:
@@ -138,7 +138,7 @@
         self.setup, self.figures = setup, Figures()
         self.draws: Draws = self.streams.of("planners")
         self.forwarders: dict[int, Forwarding] = {}
-        self._lists: list[tuple[float, tuple[Listed, ...]]] = []
+        self._lists: list[tuple[float, tuple[ListedWorker, ...]]] = []
         self.hosts = [_Host(self, place, 1) for place in range(setup.planners)]
         for outage in setup.outages:
             for place in outage.places:
@@ -165,13 +165,13 @@
         return all((place in s.places) == (forwarder % 2 == 1)
                    for s in self.setup.splits if s.at_s <= at < s.until_s)
 
-    def listed(self) -> tuple[Listed, ...]:
+    def listed(self) -> tuple[ListedWorker, ...]:
         """Discovery's list, as a planner's watch has it."""
         now, cold = self.loop.now, self.scenario.rules.cold_ms
         if not self._lists or now - self._lists[-1][0] >= LIST_MS / 2:
             zones = {zone: i for i, zone in enumerate(self.scenario.zones)}
             listed = tuple(
-                Listed(worker_of(name), zones[line.machine.zone], line.state == "ready",
+                ListedWorker(worker_of(name), zones[line.machine.zone], line.state == "ready",
                        line.started_at > 0 and now - line.started_at < cold)
                 for name, line in self.discovery.lines.items())
             if self.discovery.running or not self._lists:
@@ -189,13 +189,14 @@
         forwarding = Forwarding(f"{scheduler.name}.{self._lives[place]}",
                                 self.scenario.zones.index(scheduler.zone), self.setup.planners)
         self.forwarders[place] = forwarding
-        self.loop.at(self.loop.now + self.draws.uniform(0, DIGEST_MS), self._digest, scheduler, forwarding)
+        self.loop.at(self.loop.now + self.draws.uniform(0, DIGEST_INTERVAL_MS), self._digest, scheduler,
+                     forwarding)
 
     def _digest(self, scheduler: Scheduler, forwarding: Forwarding) -> None:
         if not scheduler.alive:
             return
         dispatcher = cast(Planned, getattr(scheduler.state.dispatcher, "_inner"))  # noqa: B009
-        digest = digest_of(scheduler.clock(), dispatcher, forwarding)
+        digest = build_digest(scheduler.clock(), dispatcher, forwarding)
         self.figures.digests += 1
         for host in self.hosts:
             if self._reaches(host.place, scheduler.place):
@@ -204,8 +205,8 @@
                 if self.network.passes(scheduler.zone, zone):
                     self.loop.at(self.loop.now + self.network.one_way(scheduler.zone, zone),
                                  host.hear, digest, scheduler)
-        self.loop.at(self.loop.now + DIGEST_MS * self.draws.uniform(0.9, 1.1), self._digest, scheduler,
-                     forwarding)
+        self.loop.at(self.loop.now + DIGEST_INTERVAL_MS * self.draws.uniform(0.9, 1.1), self._digest,
+                     scheduler, forwarding)
 
     def send_plan(self, place: int, scheduler: Scheduler, plan: Plan) -> None:
         """Carry a plan to its forwarder."""
@@ -222,12 +223,12 @@
             return
         now = scheduler.clock()
         before = forwarding.in_force(now)
-        if why := forwarding.take(now, plan):
+        if why := forwarding.accept_plan(now, plan):
             self.figures.refused[why.split(":")[0]] = self.figures.refused.get(why.split(":")[0], 0) + 1
             return
         force = forwarding.in_force(now)
         if force is not None and (before is None or before[0] is not force[0]):
-            scheduler.tell(Planning(news_of(now, force[0])))
+            scheduler.tell(Planning(plan_event(now, force[0])))
 
 
 def play(scenario: Scenario, seed: int, setup: Setup | None = None,
--- a/flintfield/planning/leases.py
+++ b/flintfield/planning/leases.py
@@ -56,7 +56,7 @@
         self._granted: dict[int, dict[str, list[tuple[float, float]]]] = {}  # by worker: (until, part)
         self._quiet_until = math.inf  # until the first step
         self._last_step_at = -math.inf
-        self.ended = False  # another planner has taken this place
+        self.superseded = False  # another planner has taken this place
 
     @property
     def quiet_ms(self) -> float:
@@ -77,9 +77,9 @@
             if not by_forwarder:
                 del self._granted[worker]
 
-    def may_give(self, now: float) -> bool:
+    def may_grant(self, now: float) -> bool:
         """Whether the quiet period is over and no other planner has taken this place."""
-        return not self.ended and now >= self._quiet_until
+        return not self.superseded and now >= self._quiet_until
 
     def leased_part(self, worker: int, excluded: str = "") -> float:
         """Upper bound on the leased part of a worker's budget, excluding the forwarder `excluded`."""
@@ -88,7 +88,7 @@
 
     def grant(self, now: float, worker: int, forwarder: str, wanted: float) -> float:
         """Grant a forwarder up to `wanted` for LEASE_MS; returns the granted part, 0 if none is left."""
-        if not self.may_give(now):
+        if not self.may_grant(now):
             return 0.0
         part = min(wanted, self.part - self.leased_part(worker, forwarder))
         if part < MIN_PART:
--- a/flintfield/planning/messages.py
+++ b/flintfield/planning/messages.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-MOST_ROWS = 512
+MAX_ROWS = 512
 """Limit on the workers in one digest or plan. A forwarder uses its part of the fleet and a few more workers,
 so this allows some 400 workers per forwarder; at 60 bytes a row a message stays below 32 KiB."""
 MOST_CLASSES = 64
@@ -83,7 +83,7 @@
     proof: str = ""
 
 
-class NonsenseError(ValueError):
+class InvalidMessageError(ValueError):
     """A message is invalid; the text says why."""
 
 
@@ -120,28 +120,28 @@
 
 def _check_range(name: str, value: float, low: float, high: float = 1e12) -> None:
     if not (math.isfinite(value) and low <= value <= high):
-        raise NonsenseError(f"{name}: found {value!r}, expected {low:g} to {high:g}")
+        raise InvalidMessageError(f"{name}: found {value!r}, expected {low:g} to {high:g}")
 
 
 def _check_unique(name: str, workers: Iterable[int]) -> None:
     seen: set[int] = set()
     for worker in workers:
         if worker in seen:
-            raise NonsenseError(f"{name}: worker {worker} appears more than once")
+            raise InvalidMessageError(f"{name}: worker {worker} appears more than once")
         seen.add(worker)
 
 
 def check_plan(plan: Plan, max_lease_part: float) -> None:
-    """Raise a `NonsenseError` for an invalid whole plan; `max_lease_part`: the largest part of a cold
+    """Raise a `InvalidMessageError` for an invalid whole plan; `max_lease_part`: the largest part of a cold
     worker's budget that one planner may lease."""
     _check_range("place", plan.place, 0, 1_000)
     _check_range("term", plan.term, 1, 1e15)
     _check_range("number", plan.number, 1)
     _check_range("answers", plan.answers, -1e15, 1e15)
     _check_range("valid_ms", plan.valid_ms, 0, LONGEST_VALID_MS)
-    if len(plan.rows) > MOST_ROWS or len(plan.leases) > MOST_ROWS:
+    if len(plan.rows) > MAX_ROWS or len(plan.leases) > MAX_ROWS:
         found = max(len(plan.rows), len(plan.leases))
-        raise NonsenseError(f"rows: found {found}, expected up to {MOST_ROWS}")
+        raise InvalidMessageError(f"rows: found {found}, expected up to {MAX_ROWS}")
     _check_unique("rows", (r.worker for r in plan.rows))
     _check_unique("leases", (each.worker for each in plan.leases))
     for row in plan.rows:
@@ -152,22 +152,22 @@
         _check_range("heard_ms", row.heard_ms, -1)
     total = math.fsum(r.share for r in plan.rows)
     if plan.rows and abs(total - 1.0) > 1e-6:
-        raise NonsenseError(f"shares: found a sum of {total:g}, expected 1")
+        raise InvalidMessageError(f"shares: found a sum of {total:g}, expected 1")
     for lease in plan.leases:
         _check_range("lease", lease.part, 0, max_lease_part + 1e-9)
     if proof_of(plan) != plan.proof:
-        raise NonsenseError(f"proof: found {plan.proof!r}, expected {proof_of(plan)!r}")
+        raise InvalidMessageError(f"proof: found {plan.proof!r}, expected {proof_of(plan)!r}")
 
 
 def check_digest(digest: Digest) -> None:
-    """Raise a `NonsenseError` for an invalid digest."""
+    """Raise a `InvalidMessageError` for an invalid digest."""
     if not 0 < len(digest.forwarder) <= 64:
-        raise NonsenseError(f"forwarder: found {len(digest.forwarder)} characters, expected 1 to 64")
+        raise InvalidMessageError(f"forwarder: found {len(digest.forwarder)} characters, expected 1 to 64")
     _check_range("number", digest.number, 1)
     _check_range("at", digest.at, -1e15, 1e15)
     _check_range("demand", digest.demand, 0, 1e6)
-    if len(digest.seen) > MOST_ROWS or len(digest.terms) > 1_000:
-        raise NonsenseError(f"seen: found {len(digest.seen)}, expected up to {MOST_ROWS}")
+    if len(digest.seen) > MAX_ROWS or len(digest.terms) > 1_000:
+        raise InvalidMessageError(f"seen: found {len(digest.seen)}, expected up to {MAX_ROWS}")
     _check_unique("seen", (s.worker for s in digest.seen))
     for seen in digest.seen:
         for name in ("held", "most", "pace"):
--- a/flintfield/planning/planner.py
+++ b/flintfield/planning/planner.py
@@ -1,8 +1,8 @@
 """One planner: takes digests and the worker list from discovery, and returns plans.
 
-Rules. All state is in `Planner`; `hear`, `list_workers` and `step` change it, `plan_for` answers one digest.
-Times are on the planner's own clock, except those in digests and plans. Bounded: MAX_FORWARDERS and
-MAX_WORKERS; a forwarder that sent no digest for FORGET_MS is dropped.
+Rules. All state is in `Planner`; `receive_digest`, `set_workers` and `step` change it, `plan_for` answers
+one digest. Times are on the planner's own clock, except those in digests and plans. Bounded: MAX_FORWARDERS
+and MAX_WORKERS; a forwarder that sent no digest for FORGET_MS is dropped.
 
 Theory of operation. `held` of a worker is the sum over the latest digests of all forwarders. `step`, called a
 few times a second, updates the prices and assigns the homes. A new incarnation only listens for LISTEN_MS
@@ -24,7 +24,7 @@
 from flintfield.planning.leases import LEASE_MS, Leases
 from flintfield.planning.market import RHO, assign_homes, shares, step_price
 from flintfield.planning.messages import (
-    MOST_ROWS, VALID_MS, Digest, Lease, Plan, Row, Seen, check_digest, with_proof,
+    MAX_ROWS, VALID_MS, Digest, Lease, Plan, Row, Seen, check_digest, with_proof,
 )
 
 MAX_FORWARDERS, MAX_WORKERS = 1_000, 20_000
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedWorker:
     """A worker as discovery lists it."""
 
     worker: int
@@ -49,7 +49,7 @@
 class WorkerState:
     """A planner's data on one worker, from all forwarders."""
 
-    listed: Listed
+    listed: ListedWorker
     price: float = 0.0
     most: float = 0.0
     held: float = 0.0  # by all forwarders
@@ -74,7 +74,7 @@
         self.place, self.term, self._top_price = place, term, top_price
         self.leases = Leases(planners, fall_ms)
         self.workers: dict[int, WorkerState] = {}
-        self.tellers: dict[str, ForwarderState] = {}
+        self.forwarders: dict[str, ForwarderState] = {}
         self.homes: dict[int, str] = {}
         self.number = 0
         self._last_step_at = -math.inf
@@ -85,17 +85,17 @@
 
     # ----------------------------------------------------------------- in
 
-    def hear(self, now: float, digest: Digest) -> bool:
+    def receive_digest(self, now: float, digest: Digest) -> bool:
         """Process a digest; returns False if it is older than a known one or there are too many forwarders.
 
-        Raises a `NonsenseError` for an invalid digest.
+        Raises a `InvalidMessageError` for an invalid digest.
         """
         check_digest(digest)
-        previous = self.tellers.get(digest.forwarder)
+        previous = self.forwarders.get(digest.forwarder)
         if previous is not None and now - previous.heard_at < FORGET_MS and (
                 digest.number <= previous.digest.number and digest.at <= previous.digest.at):
             return False
-        if previous is None and len(self.tellers) >= MAX_FORWARDERS:
+        if previous is None and len(self.forwarders) >= MAX_FORWARDERS:
             return False
         for place, term in digest.terms:
             if place == self.place and term > self.term:
@@ -103,9 +103,9 @@
                 if self.number == 0 and self.is_listening(now):
                     self.term = term + 1
                 else:
-                    self.leases.ended = True
+                    self.leases.superseded = True
         self._remove_held(digest.forwarder)
-        self.tellers[digest.forwarder] = ForwarderState(digest, now)
+        self.forwarders[digest.forwarder] = ForwarderState(digest, now)
         for seen in digest.seen:
             worker_state = self.workers.get(seen.worker)
             if worker_state is not None:
@@ -125,15 +125,15 @@
             self._claims[seen.worker] = forwarder
 
     def _remove_held(self, forwarder: str) -> None:
-        state = self.tellers.get(forwarder)
+        state = self.forwarders.get(forwarder)
         for seen in state.digest.seen if state else ():
             worker_state = self.workers.get(seen.worker)
             if worker_state is not None and forwarder in worker_state.held_by:
                 worker_state.held = max(0.0, worker_state.held - worker_state.held_by.pop(forwarder))
 
-    def list_workers(self, listed: Iterable[Listed]) -> None:
+    def set_workers(self, listed: Iterable[ListedWorker]) -> None:
         """Replace the worker list by the complete list from discovery."""
-        listed_by_worker: dict[int, Listed] = {}
+        listed_by_worker: dict[int, ListedWorker] = {}
         for item in listed:
             if len(listed_by_worker) < MAX_WORKERS:
                 listed_by_worker[item.worker] = item
@@ -159,9 +159,9 @@
             elapsed_ms = 0.0
         self._last_step_at = now
         self.leases.step(now)
-        for name in [n for n, state in self.tellers.items() if now - state.heard_at > FORGET_MS]:
+        for name in [n for n, state in self.forwarders.items() if now - state.heard_at > FORGET_MS]:
             self._remove_held(name)
-            del self.tellers[name]
+            del self.forwarders[name]
         for worker_state in self.workers.values():
             demand = min(1.0, worker_state.held / worker_state.most) if worker_state.most > 0 else RHO
             worker_state.price = step_price(worker_state.price, elapsed_ms, demand, self._top_price)
@@ -174,13 +174,13 @@
         """
         # Claims from other planners' plans apply to workers without a home here.
         for worker, name in self._claims.items():
-            if worker in self.workers and name in self.tellers:
+            if worker in self.workers and name in self.forwarders:
                 self.homes.setdefault(worker, name)
         self._claims.clear()
         ready = {w: worker_state for w, worker_state in self.workers.items() if worker_state.listed.is_ready}
         slots = {w: max(1.0, worker_state.most) for w, worker_state in ready.items()}
-        demand = {n: max(MIN_DEMAND, state.digest.demand) for n, state in self.tellers.items()}
-        zone_of_forwarder = {n: state.digest.zone for n, state in self.tellers.items()}
+        demand = {n: max(MIN_DEMAND, state.digest.demand) for n, state in self.forwarders.items()}
+        zone_of_forwarder = {n: state.digest.zone for n, state in self.forwarders.items()}
         zone_of_worker = {w: worker_state.listed.zone for w, worker_state in ready.items()}
         assign_homes(self.homes, slots, demand, zone_of_forwarder, zone_of_worker,
                      1 + len(ready) // move_divisor)
@@ -197,11 +197,11 @@
 
     def plan_for(self, now: float, forwarder: str) -> Plan | None:
         """A whole plan that answers the forwarder's latest digest; None while there is nothing to plan."""
-        state = self.tellers.get(forwarder)
-        if state is None or self.is_listening(now) or self.leases.ended or not self.workers:
+        state = self.forwarders.get(forwarder)
+        if state is None or self.is_listening(now) or self.leases.superseded or not self.workers:
             return None
         homes = [w for w in self._homes_by_forwarder.get(forwarder, ())
-                 if w in self.workers][:MOST_ROWS - OVERFLOW_WORKERS]
+                 if w in self.workers][:MAX_ROWS - OVERFLOW_WORKERS]
         overflow = self._overflow(forwarder, state.digest.zone)
         if not homes and not overflow:
             return None
--- a/flintfield/units/role.py
+++ b/flintfield/units/role.py
@@ -18,13 +18,13 @@
 from flintfield.decision.interface import PlanNews, State as Lifecycle
 from flintfield.decision.planned import NoJobs, Planned
 from flintfield.decision.policy import Dispatcher
-from flintfield.forwarding.bridge import digest_of, news_of
-from flintfield.forwarding.core import MOST_PLANNERS, Forwarding
+from flintfield.forwarding.bridge import build_digest, plan_event
+from flintfield.forwarding.core import MAX_PLANNERS, Forwarding
 from flintfield.memory.messages import Address, UnitMessage
 from flintfield.memory.reducer import Turn
 from flintfield.memory.state import Handler
 from flintfield.planning.messages import Digest, Plan
-from flintfield.planning.planner import Listed, Planner
+from flintfield.planning.planner import ListedWorker, Planner
 from flintfield.units.interface import Feature, Given, Host, SidePage, Unit
 from flintfield.wire.http1.reply import Reply
 from flintfield.wire.http1.stream import open_listener
@@ -62,16 +62,16 @@
         """Check what depends on two keys."""
         if self.role == "scheduler":
             return
-        if not 0 < len(self.planners) <= MOST_PLANNERS or len(set(self.planners)) < len(self.planners):
+        if not 0 < len(self.planners) <= MAX_PLANNERS or len(set(self.planners)) < len(self.planners):
             raise ValueError(f"planners: found {len(set(self.planners))} addresses, expected 1 to "
-                             f"{MOST_PLANNERS}, each once")
+                             f"{MAX_PLANNERS}, each once")
         if self.role == "planner" and self.place >= len(self.planners):
             raise ValueError(f"place: found {self.place}, expected one of 0 to {len(self.planners) - 1}, "
                              f"for so many planners are listed")
 
 
 SECTION = Section("role", RoleOn, {
-    "role": word(*ROLES), "place": whole(0, MOST_PLANNERS - 1), "keys": FILE,
+    "role": word(*ROLES), "place": whole(0, MAX_PLANNERS - 1), "keys": FILE,
     "planners": Reader("addresses such as 10.0.0.4:7950, separated by commas", _addresses),
 })
 
@@ -151,15 +151,15 @@
 
     def _newest(self) -> Digest:
         now = self._host.clock()
-        if self._last is None or self._forwarding.is_due(now):
-            self._last = digest_of(now, self._dispatcher, self._forwarding)
+        if self._last is None or self._forwarding.is_digest_due(now):
+            self._last = build_digest(now, self._dispatcher, self._forwarding)
             self._tell_of_change(now)
         return self._last
 
     def _take(self, plan: Plan) -> None:
         now = self._host.clock()
         before = self._forwarding.in_force(now)
-        if why := self._forwarding.take(now, plan):
+        if why := self._forwarding.accept_plan(now, plan):
             self._count("plans.refused")
             self._unsaid += 1
             if now >= self._say_at:  # guards standard error against a planner that goes on with it
@@ -170,7 +170,7 @@
         force = self._forwarding.in_force(now)
         if force is not None and (before is None or before[0] is not force[0]):
             self._count("plans.in_force")
-            self._host.tell(NewPlan(news_of(now, force[0])))
+            self._host.tell(NewPlan(plan_event(now, force[0])))
         self._tell_of_change(now)
 
     def _tell_of_change(self, now: float) -> None:
@@ -243,9 +243,9 @@
                                  f"{error}") from error
         return {"link_port": self._listener.getsockname()[1]}
 
-    def _listed(self) -> list[Listed]:
+    def _listed(self) -> list[ListedWorker]:
         now, cold_ms = self._host.clock(), self._host.config.settings.rules.cold_ms
-        return [Listed(number, w.entry.zone, w.entry.state is Lifecycle.READY,
+        return [ListedWorker(number, w.entry.zone, w.entry.state is Lifecycle.READY,
                        w.entry.started_ms > 0 and now - w.entry.started_ms < cold_ms)
                 for number, w in self._host.state.dispatcher.workers.items()]
 
@@ -255,16 +255,16 @@
 
     def _show(self) -> Reply:
         planner, now = self._planner, self._host.clock()
-        homes: dict[str, int] = dict.fromkeys(planner.tellers, 0)
+        homes: dict[str, int] = dict.fromkeys(planner.forwarders, 0)
         for name in planner.homes.values():
             homes[name] = homes.get(name, 0) + 1
         forwarders = [{"name": name, "heard_ms": round(now - t.heard_at), "demand": t.digest.demand,
                        "homes": homes[name], "in_force": t.digest.in_force}
-                      for name, t in sorted(planner.tellers.items())]
+                      for name, t in sorted(planner.forwarders.items())]
         return _page({"role": "planner", "place": planner.place, "term": planner.term,
                       "number": planner.number, "links": len(self._links),
-                      "listening": planner.is_listening(now), "leases": planner.leases.may_give(now),
-                      "place_taken": planner.leases.ended, "workers": len(planner.workers),
+                      "listening": planner.is_listening(now), "leases": planner.leases.may_grant(now),
+                      "place_taken": planner.leases.superseded, "workers": len(planner.workers),
                       "forwarders": forwarders})
 
     async def run(self) -> None:
--- a/flintfield/wire/link/forwarder.py
+++ b/flintfield/wire/link/forwarder.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from flintfield.forwarding.core import DIGEST_MS
+from flintfield.forwarding.core import DIGEST_INTERVAL_MS
 from flintfield.planning.messages import Digest, Plan
 from flintfield.wire.http1.stream import dial
 from flintfield.wire.link.frames import Channel, Count, LinkError, Nonces, greet
@@ -24,7 +24,7 @@
 
     def __init__(self, ring: Ring, planners: tuple[Address, ...], newest: Callable[[], Digest],
                  take: Callable[[Plan], None], count: Count, draws: random.Random) -> None:
-        """`newest` gives the newest digest, at most one for each DIGEST_MS; `take` gets each plan."""
+        """`newest` gives the newest digest, at most one per DIGEST_INTERVAL_MS; `take` gets each plan."""
         self._ring, self._planners, self._newest, self._take = ring, planners, newest, take
         self._count, self._draws, self._nonces = count, draws, Nonces()
         self.connected: dict[int, bool] = dict.fromkeys(range(len(planners)), False)
@@ -85,7 +85,7 @@
         while True:
             await channel.write(self._newest())
             self._count("link.digests")
-            await anyio.sleep(DIGEST_MS / 1_000 * self._draws.uniform(0.9, 1.1))
+            await anyio.sleep(DIGEST_INTERVAL_MS / 1_000 * self._draws.uniform(0.9, 1.1))
 
     async def _read(self, channel: Channel) -> None:
         while True:
--- a/flintfield/wire/link/planner.py
+++ b/flintfield/wire/link/planner.py
@@ -9,8 +9,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from flintfield.planning.messages import Digest, NonsenseError, Plan, delta
-from flintfield.planning.planner import Listed, Planner
+from flintfield.planning.messages import Digest, InvalidMessageError, Plan, delta
+from flintfield.planning.planner import ListedWorker, Planner
 from flintfield.wire.http1.stream import Stream
 from flintfield.wire.link.frames import Channel, Count, LinkError, Nonces, be_greeted
 from flintfield.wire.membership.keys import Ring
@@ -38,7 +38,7 @@
 class ForwarderLinks:
     """All forwarders' connections."""
 
-    def __init__(self, ring: Ring, planner: Planner, listed: Callable[[], list[Listed]],
+    def __init__(self, ring: Ring, planner: Planner, listed: Callable[[], list[ListedWorker]],
                  clock: Callable[[], float], count: Count) -> None:
         self._ring, self._planner, self._listed = ring, planner, listed
         self._clock, self._count, self._nonces = clock, count, Nonces()
@@ -84,7 +84,7 @@
                     self._hear(link, message)
         except LinkError as error:
             self._count(f"link.{error.kind}")
-        except NonsenseError:
+        except InvalidMessageError:
             self._count("link.nonsense")
         finally:
             if link is not None:
@@ -93,12 +93,12 @@
 
     def _hear(self, link: _Link, digest: Digest) -> None:
         self._count("link.digests")
-        if self._planner.hear(self._clock(), digest):
+        if self._planner.receive_digest(self._clock(), digest):
             link.forwarder, link.is_fresh = digest.forwarder, True
 
     def _step(self, tasks: TaskGroup) -> None:
         now = self._clock()
-        self._planner.list_workers(self._listed())
+        self._planner.set_workers(self._listed())
         self._planner.step(now)
         for link in list(self._links):
             if not link.is_fresh or link.writing or self._stands_by(link, now):
@@ -109,7 +109,7 @@
                 tasks.start_soon(self._write, link, plan)
 
     def _claim(self, link: _Link) -> tuple[int, int, int, str] | None:
-        teller = self._planner.tellers.get(link.forwarder)
+        teller = self._planner.forwarders.get(link.forwarder)
         return teller.digest.in_force if teller else None
 
     def _stands_by(self, link: _Link, now: float) -> bool:
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -14,9 +14,10 @@
 from flintfield.planning.leases import LEASE_MS, OWN_PART, Leases, hold_ms, planner_part
 from flintfield.planning.market import assign_homes, shares
 from flintfield.planning.messages import (
-    VALID_MS, Digest, Lease, NonsenseError, Plan, Row, Seen, apply_delta, check_digest, delta, with_proof,
+    VALID_MS, Digest, InvalidMessageError, Lease, Plan, Row, Seen, apply_delta, check_digest, delta,
+    with_proof,
 )
-from flintfield.planning.planner import LISTEN_MS, Listed, Planner
+from flintfield.planning.planner import LISTEN_MS, ListedWorker, Planner
 
 FALL_MS = 1_000.0
 COLD = 7
@@ -61,7 +62,7 @@
 
     def planner(self, place: int, term: int) -> Planner:
         new_planner = Planner(place, 3, term, FALL_MS)
-        new_planner.list_workers([Listed(COLD, is_cold=True)])
+        new_planner.set_workers([ListedWorker(COLD, is_cold=True)])
         return new_planner
 
     def clock(self, clock_index: int) -> float:
@@ -76,7 +77,7 @@
                                         if (p, index) not in self.cut_links]
         elif action == "plan" and not self.suspended[place]:
             for _, _, digest in [entry for entry in self.digests_in_transit if entry[0] == place]:
-                planner.hear(self.clock(place), digest)
+                planner.receive_digest(self.clock(place), digest)
             self.digests_in_transit = [entry for entry in self.digests_in_transit if entry[0] != place]
             planner.step(self.clock(place))
             planner.homes[COLD] = forwarding.name  # the hardest case: the worker's home changes all the time
@@ -89,7 +90,7 @@
             if action == "deliver":
                 self.plans_in_transit.pop(0)
             if (sender, receiver) not in self.cut_links:
-                self.forwarders[receiver].take(self.clock(3 + receiver), new_plan)
+                self.forwarders[receiver].accept_plan(self.clock(3 + receiver), new_plan)
         elif action == "restart":
             self.places[place] = self.planner(place, planner.term + 1)
             self.suspended[place] = False
@@ -158,17 +159,18 @@
     leases = Leases(1, FALL_MS)
     for at in range(0, 10_000, 500):
         leases.step(float(at))
-    assert leases.may_give(9_500.0)
+    assert leases.may_grant(9_500.0)
     leases.step(40_000.0)
-    assert not leases.may_give(40_000.0)
+    assert not leases.may_grant(40_000.0)
     planner = Planner(0, 1, 3, FALL_MS)
-    planner.list_workers(listed(2))
-    planner.hear(0.0, Digest("f", 0, 1, 0.0, 1.0, terms=((0, 4),)))
-    assert planner.term == 5 and not planner.leases.ended  # its clock was behind that of the previous one
+    planner.set_workers(listed(2))
+    planner.receive_digest(0.0, Digest("f", 0, 1, 0.0, 1.0, terms=((0, 4),)))
+    # The planner's clock was behind that of the previous one.
+    assert planner.term == 5 and not planner.leases.superseded
     run_until(planner, ["f"], 3_000, 250)
     assert planner.plan_for(3_000, "f") is not None
-    planner.hear(3_001.0, Digest("f", 0, 4_000, 3_001.0, 1.0, terms=((0, 6),)))
-    assert planner.leases.ended and planner.plan_for(3_001, "f") is None
+    planner.receive_digest(3_001.0, Digest("f", 0, 4_000, 3_001.0, 1.0, terms=((0, 6),)))
+    assert planner.leases.superseded and planner.plan_for(3_001, "f") is None
 
 
 # ------------------------------------------------------------- validation of plans
@@ -189,10 +191,10 @@
         bad: Plan, reason: str) -> None:
     forwarding = forwarder()
     good = plan(rows=(row(2),))
-    assert forwarding.take(1.0, good) == ""
+    assert forwarding.accept_plan(1.0, good) == ""
     later = msgspec.structs.replace(bad, number=2)
     later = later if reason in ("proof", "valid_ms", "base") else with_proof(later)
-    assert reason in forwarding.take(2.0, later)
+    assert reason in forwarding.accept_plan(2.0, later)
     current = forwarding.in_force(3.0)
     assert current is not None and current[0] == good
     assert forwarding.counts == {"taken": 1, "refused": 1}
@@ -200,19 +202,19 @@
 
 def test_older_terms_and_numbers_are_rejected_in_any_order() -> None:
     forwarding = forwarder()
-    assert forwarding.take(1.0, plan(5, term=2)) == ""
-    assert "number" in forwarding.take(1.0, plan(4, term=2))
-    assert "number" in forwarding.take(1.0, plan(5, term=2))
-    assert "term" in forwarding.take(1.0, plan(9, term=1))
-    assert forwarding.take(1.0, plan(1, term=3)) == ""
+    assert forwarding.accept_plan(1.0, plan(5, term=2)) == ""
+    assert "number" in forwarding.accept_plan(1.0, plan(4, term=2))
+    assert "number" in forwarding.accept_plan(1.0, plan(5, term=2))
+    assert "term" in forwarding.accept_plan(1.0, plan(9, term=1))
+    assert forwarding.accept_plan(1.0, plan(1, term=3)) == ""
 
 
 def test_a_plan_of_a_resumed_planner_that_answers_an_old_digest_is_rejected() -> None:
     forwarding = forwarder()
-    forwarding.take(1.0, plan())
+    forwarding.accept_plan(1.0, plan())
     for at in range(250, 30_250, 250):
         forwarding.digest(float(at), 1.0, ())
-    assert "answers" in forwarding.take(30_250.0, plan(2, term=2))
+    assert "answers" in forwarding.accept_plan(30_250.0, plan(2, term=2))
     assert forwarding.in_force(30_250.0) is None
 
 
@@ -226,21 +228,21 @@
 
 def test_a_digest_has_the_proof_of_the_plan_in_force_until_it_expires() -> None:
     forwarding, current_plan = forwarder(), plan()
-    forwarding.take(1.0, current_plan)
+    forwarding.accept_plan(1.0, current_plan)
     assert forwarding.digest(2.0, 1.0, ()).in_force == (0, 1, 1, current_plan.proof)
     assert forwarding.digest(VALID_MS, 1.0, ()).in_force is None
 
 
 def test_the_weight_of_a_plan_falls_gradually_and_a_fresher_planner_is_followed() -> None:
     forwarding = forwarder()
-    forwarding.take(1.0, plan())
+    forwarding.accept_plan(1.0, plan())
     weights = [current[1] if (current := forwarding.in_force(float(at))) else 0.0
                for at in range(0, 3_200, 10)]
     assert weights[0] == 1.0 and weights[-1] == 0.0
     assert max(a - b for a, b in pairwise(weights)) < 0.01
     assert all(a >= b for a, b in pairwise(weights))
     forwarding.digest(2_500.0, 1.0, ())
-    forwarding.take(2_510.0, plan(place=1, answers=2_500.0))
+    forwarding.accept_plan(2_510.0, plan(place=1, answers=2_500.0))
     current = forwarding.in_force(2_510.0)
     assert current is not None and current[0].place == 1
 
@@ -252,7 +254,8 @@
         forwarding.digest(float(at), 1.0, ())
         for place in (1, 0) if at >= 1_000 else (1,):
             numbers[place] += 1
-            assert forwarding.take(float(at), plan(numbers[place], place=place, answers=float(at))) == ""
+            assert forwarding.accept_plan(
+                float(at), plan(numbers[place], place=place, answers=float(at))) == ""
         followed.append(forwarding.followed)
     assert followed == [1] * 16 + [0] * 20
 
@@ -264,11 +267,11 @@
 ])
 def test_an_invalid_digest_changes_nothing_at_a_planner(bad: Digest) -> None:
     planner = Planner(0, 1, 1, FALL_MS)
-    with pytest.raises(NonsenseError):
+    with pytest.raises(InvalidMessageError):
         check_digest(bad)
-    with pytest.raises(NonsenseError):
-        planner.hear(0.0, bad)
-    assert not planner.tellers
+    with pytest.raises(InvalidMessageError):
+        planner.receive_digest(0.0, bad)
+    assert not planner.forwarders
 
 
 # -------------------------------------------------------------------- the market
@@ -301,8 +304,8 @@
         assert assigned >= expected - 6 - len(demand)
 
 
-def listed(count: int) -> list[Listed]:
-    return [Listed(w) for w in range(count)]
+def listed(count: int) -> list[ListedWorker]:
+    return [ListedWorker(w) for w in range(count)]
 
 
 def run_until(planner: Planner, names: list[str], until: float, start: float = 0.0) -> None:
@@ -310,22 +313,22 @@
     while at <= until:
         for name in names:
             own = [w for w, n in planner.homes.items() if n == name]
-            planner.hear(at, Digest(name, 0, number, at, 2.0, tuple(Seen(w, 1.0, 2.0, 1.0, 5.0, True)
-                                                                   for w in own)))
+            planner.receive_digest(at, Digest(name, 0, number, at, 2.0, tuple(
+                Seen(w, 1.0, 2.0, 1.0, 5.0, True) for w in own)))
         planner.step(at)
         at, number = at + 250, number + 1
 
 
 def test_a_new_planner_listens_first_and_adopts_the_existing_homes() -> None:
     first, names = Planner(0, 2, 1, FALL_MS), ["a", "b", "c"]
-    first.list_workers(listed(12))
+    first.set_workers(listed(12))
     run_until(first, names, 5_000)
     second = Planner(1, 2, 1, FALL_MS)
-    second.list_workers(listed(12))
+    second.set_workers(listed(12))
     assert second.plan_for(0.0, "a") is None
     for name in names:
         own = tuple(Seen(w, 1.0, 2.0, 1.0, 5.0, True) for w, n in first.homes.items() if n == name)
-        second.hear(0.0, Digest(name, 0, 1, 0.0, 2.0, own))
+        second.receive_digest(0.0, Digest(name, 0, 1, 0.0, 2.0, own))
     second.step(0.0)
     assert second.homes == first.homes
     assert second.is_listening(LISTEN_MS - 1)
@@ -333,9 +336,9 @@
 
 def test_plans_omit_a_draining_worker_and_a_silent_forwarders_homes_are_reassigned() -> None:
     planner = Planner(0, 1, 1, FALL_MS)
-    planner.list_workers(listed(6))
+    planner.set_workers(listed(6))
     run_until(planner, ["a", "b"], 5_000)
-    planner.list_workers([Listed(w, is_ready=w != 3) for w in range(6)])
+    planner.set_workers([ListedWorker(w, is_ready=w != 3) for w in range(6)])
     run_until(planner, ["a"], 12_000, 5_250)
     last_plan = planner.plan_for(12_000, "a")
     assert last_plan is not None
