--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -25,16 +25,16 @@
 
 from benchmarks.decision_model import play
 from flintfield.jobs import state as dispatcher_state
-from flintfield.jobs.copies import Copies
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.gangs import Gangs
 from flintfield.jobs.moves import Moves
 from flintfield.jobs.preemption import Preemption
 from flintfield.jobs.racks import RackWaits
+from flintfield.jobs.speculation import SpeculativeCopies
 from flintfield.placement import health, market
 from flintfield.placement.candidates import CandidateFinder
 from flintfield.placement.health import HealthTable
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 from flintfield.placement.prices import PriceTable
 from flintfield.placement.speeds import SpeedTable
 
@@ -62,7 +62,7 @@
     return answer
 
 
-def _equal_shares(_: Market, __: object, candidates: typing.Any, *___: object) -> list[float]:
+def _equal_shares(_: MarketPlacement, __: object, candidates: typing.Any, *___: object) -> list[float]:
     """Every candidate is as good as the others."""
     return [1.0] * len(candidates.workers)
 
@@ -74,21 +74,21 @@
         Replacement(SpeedTable, "note_done", _nothing),
         Replacement(SpeedTable, "note_slowness", _nothing),
     ),
-    "shares": (Replacement(Market, "_shares_of", _equal_shares),),
+    "shares": (Replacement(MarketPlacement, "_shares_of", _equal_shares),),
     "trust": (
         Replacement(HealthTable, "untrusted", _always(frozenset())),
         Replacement(HealthTable, "trusted", _always(True)),
     ),
     "probing runs": (Replacement(CandidateFinder, "probe", _nothing),),
-    "suspicion by rate": (Replacement(health, "FALSE_ALARM_S", 0.0),),
-    "waiting for a better worker": (Replacement(market, "SLOW", math.inf),),
-    "packing": (Replacement(market, "MOST_COMPARED", 1),),
-    "waiting for racks": (Replacement(RackWaits, "may_wait", _always(False)),),
-    "back-off": (Replacement(Ends, "_backoff", _always(0)),),
+    "suspicion by rate": (Replacement(health, "MEAN_TIME_BETWEEN_FALSE_ALARMS_S", 0.0),),
+    "waiting for a better worker": (Replacement(market, "SLOWNESS_THRESHOLD", math.inf),),
+    "packing": (Replacement(market, "MAX_COMPARED", 1),),
+    "waiting for racks": (Replacement(RackWaits, "may_wait_for_rack", _always(False)),),
+    "back-off": (Replacement(RunEnds, "_backoff", _always(0)),),
     "preemption": (Replacement(Preemption, "make_room", _nothing),),
     "reservations of gangs": (Replacement(Gangs, "reserve", _nothing),),
     "moves": (Replacement(Moves, "check", _nothing),),
-    "copies": (Replacement(Copies, "tick", _nothing),),
+    "copies": (Replacement(SpeculativeCopies, "tick", _nothing),),
     "patience": (Replacement(dispatcher_state, "patience_ms", _always(GATHERED_MS)),),
 }
 """The mechanisms by name, and what takes each out."""
--- a/flintfield/jobs/preemption.py
+++ b/flintfield/jobs/preemption.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from flintfield.jobs.demands import demand_of
-from flintfield.jobs.ends import Ends
+from flintfield.jobs.ends import RunEnds
 from flintfield.jobs.model import Run, Step
 from flintfield.jobs.ranks import PRIORITY_GAP_MS
 from flintfield.jobs.queues import ServiceQueue
@@ -39,7 +39,7 @@
 class Preemption:
     """Stops runs to free capacity for late steps."""
 
-    def __init__(self, state: DispatcherState, ends: Ends) -> None:
+    def __init__(self, state: DispatcherState, ends: RunEnds) -> None:
         self._state = state
         self._ends = ends
 
@@ -89,12 +89,12 @@
         for run in self._state.workers[worker.instance].runs.values():
             if run.state is RunState.STOPPING:
                 free = free.plus(run.resources)
-        return Room(worker, free, worker.held.get(demand.group, 0), [])
+        return Room(worker, free, worker.task_counts.get(demand.group, 0), [])
 
     def _cheapest(self, rooms: list[Room], demand: Demand, step: Step) -> tuple[Room, list[Run]] | None:
         best: tuple[float, Room, list[Run]] | None = None
         for room in rooms:
-            if demand.at_most and room.held >= demand.at_most:
+            if demand.max_per_worker and room.held >= demand.max_per_worker:
                 continue
             found = self._cheapest_victims(room, demand, step)
             if found is None:
--- a/flintfield/jobs/state.py
+++ b/flintfield/jobs/state.py
@@ -14,7 +14,7 @@
 from flintfield.jobs.messages import AgentOrders, JobAnswer
 from flintfield.jobs.model import Job, Run, Task
 from flintfield.jobs.patience import patience_ms
-from flintfield.jobs.recorder import Happening, Recorder
+from flintfield.jobs.recorder import JobEvent, Recorder
 from flintfield.jobs.queues import ServiceQueue
 from flintfield.jobs.timing import Timing
 from flintfield.jobs.worker_record import WorkerRecord
@@ -71,7 +71,7 @@
         self.workers: dict[str, WorkerRecord] = {}
         self.placeable: dict[str, Worker] = {}  # workers named by reports; visible to the placement policy
         self.by_machine: dict[str, str] = {}
-        self.gone: OrderedDict[str, None] = OrderedDict()
+        self.removed_incarnations: OrderedDict[str, None] = OrderedDict()
         self.services: dict[str, ServiceQueue] = {}
         self.paces = Paces()
         self.timing = Timing()
@@ -132,7 +132,7 @@
         self.put(durable.task_key(task.name), durable.encode_task(task))
         task.recorded = True
 
-    def record(self, job: Job, happening: Happening, run: Run | None = None, detail: str = "") -> None:
+    def record(self, job: Job, happening: JobEvent, run: Run | None = None, detail: str = "") -> None:
         """Notify the recorder, if there is one."""
         if self.recorder is not None:
             self.recorder.note(self.wall_ms, job, happening, run, detail)
@@ -224,7 +224,7 @@
         worker = record.worker
         worker.used = worker.used.plus(run.resources)
         group = run.task.step.group
-        worker.held[group] = worker.held.get(group, 0) + 1
+        worker.task_counts[group] = worker.task_counts.get(group, 0) + 1
 
     def uncount_run(self, run: Run) -> None:
         """Remove a run's resources from the use of its worker."""
@@ -234,11 +234,11 @@
         worker = record.worker
         worker.used = worker.used.minus(run.resources)
         group = run.task.step.group
-        held = worker.held.get(group, 0) - 1
+        held = worker.task_counts.get(group, 0) - 1
         if held > 0:
-            worker.held[group] = held
+            worker.task_counts[group] = held
         else:
-            worker.held.pop(group, None)
+            worker.task_counts.pop(group, None)
         self.service(worker.service).dirty = True
 
     def answer(self, status: int, body: bytes = b"{}", retry_after_ms: int = 0) -> JobAnswer:
--- a/flintfield/observe/tables.py
+++ b/flintfield/observe/tables.py
@@ -27,7 +27,7 @@
 from flintfield.observe.questions import PAGE_ROWS, AskJobs, AskWorkers
 from flintfield.observe.times import job_times
 from flintfield.observe.waiting import wait_reason
-from flintfield.placement.market import Market
+from flintfield.placement.market import MarketPlacement
 
 MOST_TASKS_READ = 2_000  # of one job, for one answer: some milliseconds
 QUEUED, RUNNING = "queued", "running"
@@ -85,8 +85,8 @@
 
 def _worker_row(state: DispatcherState, record: WorkerRecord) -> WorkerRow:
     worker = record.worker
-    market = state.placement if isinstance(state.placement, Market) else None
-    trusted = state.placement.trusted(worker.instance, state.now_ms)
+    market = state.placement if isinstance(state.placement, MarketPlacement) else None
+    trusted = state.placement.is_trusted(worker.instance, state.now_ms)
     leaves_in_ms = max(0, record.leaves_ms - state.now_ms) if record.draining else -1
     return WorkerRow(
         worker.instance,
@@ -121,7 +121,7 @@
         return WorkerCondition.SILENT
     if record.draining:
         return WorkerCondition.DRAINING
-    if record.unwell_until_ms > state.now_ms:
+    if record.paused_until_ms > state.now_ms:
         return WorkerCondition.UNWELL
     if not trusted:
         return WorkerCondition.QUARANTINED
@@ -157,9 +157,9 @@
 
 def _state_word(job: Job) -> str:
     """As clients are told it."""
-    if job.shown in (JobState.ACCEPTING, JobState.ACTIVE):
+    if job.durable_state in (JobState.ACCEPTING, JobState.ACTIVE):
         return RUNNING if job.started else QUEUED
-    return job.shown.name.lower()
+    return job.durable_state.name.lower()
 
 
 # One job.
