--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
     AttemptEnded,
     Entry,
     ListMode,
-    Note,
+    AttemptProgress,
     Outcome,
     Probe,
     Probed,
@@ -113,7 +113,7 @@
         """So many jobs out and started."""
         sends = [s for s in (self.submit() for _ in range(jobs)) if s]
         for send in sends:
-            self.tell(Note(send.rid, 0, send.worker, started=True))
+            self.tell(AttemptProgress(send.rid, 0, send.worker, started=True))
         return sends
 
 
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -29,7 +29,7 @@
     Fail,
     Limits,
     ListMode,
-    Note,
+    AttemptProgress,
     Outcome,
     Probe,
     Probed,
@@ -306,10 +306,10 @@
             node.running[name] = ends
             self.at(ends, self._done, node, name, ends)
             if self.plan.tells_start:
-                note = Note(name[1], name[2], node.number, started=True)
+                note = AttemptProgress(name[1], name[2], node.number, started=True)
                 self.at(self.now + LEG_MS, self._note, name, note)
 
-    def _note(self, name: tuple[int, int, int], note: Note) -> None:
+    def _note(self, name: tuple[int, int, int], note: AttemptProgress) -> None:
         if name in self._out:
             self.tell(name[0], note)
 
--- a/flintfield/capture/records.py
+++ b/flintfield/capture/records.py
@@ -11,8 +11,9 @@
 from typing import Any
 
 from flintfield.decision.interface import (
-    Action, AttemptEnded, ByHand, Cancel, Ends, Entry, Event, Fail, First, Gone, Hearsay, ListMode, Note,
-    Outcome, PlanNews, Probed, Refuse, Report, Request, Send, ServerList, State, Timer, WorkerId,
+    Action, AttemptEnded, OperatorOverrides, Cancel, ShutdownAnnounced, Entry, Event, Fail, StreamStarted,
+    ClientLeft, PeerObservations, ListMode, AttemptProgress, Outcome, PlanUpdate, Probed, Refuse, Report,
+    Request, Send, ServerList, State, Timer, WorkerId,
 )
 
 Record = dict[str, Any]
@@ -66,21 +67,21 @@
                 "instances": [server_record(e, names) for e in event.entries]}
     if isinstance(event, Probed):
         return {"record": "probe", "instance": names.worker(event.worker), **_ending(event)}
-    if isinstance(event, ByHand):
+    if isinstance(event, OperatorOverrides):
         return {"record": "by_hand", "out": list(event.out), "back": [list(pair) for pair in event.back],
                 "cold_elsewhere": event.cold_elsewhere}
-    if isinstance(event, Ends):
+    if isinstance(event, ShutdownAnnounced):
         return {"record": "ends", "by": event.by}
-    if isinstance(event, PlanNews | Hearsay):
+    if isinstance(event, PlanUpdate | PeerObservations):
         raise TypeError("plans and hearsay are not recorded: [role] and [sharing] refuse them with [capture]")
     told: Record = {"record": "", "Req-Id": names.request(event.rid), "rid": event.rid}
     if isinstance(event, Request):
         given = asdict(event)
         return told | {"record": "request", "Req-Kind": names.requests.get(event.rid, ("", ""))[1]} | given
-    if isinstance(event, Gone):
+    if isinstance(event, ClientLeft):
         return told | {"record": "left"}
     told |= {"attempt": event.attempt, "instance": names.worker(event.worker)}
-    if isinstance(event, Note):
+    if isinstance(event, AttemptProgress):
         return told | {"record": "progress", "started": event.started, "share": event.done}
     if isinstance(event, AttemptEnded):
         return told | {"record": "answer", "over": event.over, **_ending(event)}
@@ -165,11 +166,11 @@
         ListMode(told["mode"]), tuple(read_server(r, names) for r in told["instances"]), told.get("due")),
     "probe": lambda told, names: Probed(
         _worker(told, names), Outcome(told["outcome"]), told["elapsed_ms"], _report(told)),
-    "by_hand": lambda told, names: ByHand(
+    "by_hand": lambda told, names: OperatorOverrides(
         tuple(told["out"]), tuple((n, at) for n, at in told["back"]), told["cold_elsewhere"]),
-    "ends": lambda told, names: Ends(told["by"]),
-    "left": lambda told, names: Gone(_rid(told, names)),
-    "progress": lambda told, names: Note(
+    "ends": lambda told, names: ShutdownAnnounced(told["by"]),
+    "left": lambda told, names: ClientLeft(_rid(told, names)),
+    "progress": lambda told, names: AttemptProgress(
         _rid(told, names), told["attempt"], _worker(told, names), told["started"], told["share"]),
-    "stream": lambda told, names: First(_rid(told, names), told["attempt"], _worker(told, names)),
+    "stream": lambda told, names: StreamStarted(_rid(told, names), told["attempt"], _worker(told, names)),
 }
--- a/flintfield/decision/checkpoint.py
+++ b/flintfield/decision/checkpoint.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from flintfield.decision.accounts import Account, Accounts
-from flintfield.decision.asking import Asking
-from flintfield.decision.byhand import Hands
+from flintfield.decision.discovery_schedule import Asking
+from flintfield.decision.operator_overrides import Hands
 from flintfield.decision.interface import Entry, Outcome, Request, Settings, State
 from flintfield.decision.patience import Patience
 from flintfield.decision.policy import Dispatcher
--- a/flintfield/decision/fleet.py
+++ b/flintfield/decision/fleet.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from flintfield.decision.homes import Homes
+from flintfield.decision.key_affinity import KeyAffinity
 from flintfield.decision.records import Survey, Worker
 from flintfield.decision.roster import SILENT, Roster
 from flintfield.decision.shares import Order, Shares, eligible, prices_and_qualities, tree_size, split
@@ -141,10 +141,10 @@
             table.update(self._fill, dict.fromkeys(self._log[table.seen - self._start:]), self._slots)
         table.seen = end
 
-    def _home(self, near: bool) -> Homes:
+    def _home(self, near: bool) -> KeyAffinity:
         homes = self._homes.get(near)
         if homes is None:
-            homes = self._homes[near] = Homes(self.near if near else self.ring)
+            homes = self._homes[near] = KeyAffinity(self.near if near else self.ring)
         return homes
 
     def drop_unused(self) -> None:
--- a/flintfield/decision/interface.py
+++ b/flintfield/decision/interface.py
@@ -18,24 +18,22 @@
     "NEVER_RAN",
     "Action",
     "AttemptEnded",
-    "ByHand",
+    "AttemptProgress",
     "Cancel",
+    "ClientLeft",
     "Effect",
-    "Ends",
     "Entry",
     "Event",
     "Fail",
-    "First",
-    "Gone",
     "Group",
-    "HeardOf",
-    "Hearsay",
     "Limits",
     "ListMode",
-    "Note",
+    "OperatorOverrides",
     "Outcome",
-    "PlanNews",
+    "PeerObservation",
+    "PeerObservations",
     "PlanRow",
+    "PlanUpdate",
     "Prices",
     "Probe",
     "Probed",
@@ -48,7 +46,9 @@
     "ServerList",
     "SetTimer",
     "Settings",
+    "ShutdownAnnounced",
     "State",
+    "StreamStarted",
     "Tenant",
     "Timer",
     "Watch",
@@ -111,7 +111,7 @@
 
 
 @value
-class First:
+class StreamStarted:
     """A streamed answer has begun, so the client is bound to this attempt."""
 
     rid: int
@@ -120,7 +120,7 @@
 
 
 @value
-class Note:
+class AttemptProgress:
     """Progress of a running attempt: it has started, or the fraction that is done."""
 
     rid: int
@@ -144,14 +144,14 @@
 
 
 @value
-class Gone:
+class ClientLeft:
     """The client has disconnected; its request needs no answer any more."""
 
     rid: int
 
 
 @value
-class Ends:
+class ShutdownAnnounced:
     """The dispatcher is shutting down: a job with no running attempt is answered by the time `by` (ms)."""
 
     by: float
@@ -189,7 +189,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlanNews:
+class PlanUpdate:
     """A plan, for a dispatcher that accepts plans; its weight is 1 until `full_until`, then falls linearly to
     0 at `ends`. `leases`: fractions of cold workers' budgets that are leased to this dispatcher until then,
     in addition to its own part."""
@@ -201,7 +201,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ByHand:
+class OperatorOverrides:
     """All workers that operators have taken out of service, and when others were returned to service (ms).
 
     This replaces the earlier set. No new job goes to a worker that is out, whatever the list says; one that
@@ -215,7 +215,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardOf:
+class PeerObservation:
     """What other dispatchers report about one worker."""
 
     worker: WorkerId
@@ -226,16 +226,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hearsay:
+class PeerObservations:
     """New observations by other dispatchers. `weight`: the fraction of the slots held by all others that they
     cover, from 0 (none is heard) to 1 (all are heard, without delay)."""
 
     weight: float
-    rows: tuple[HeardOf, ...] = ()
+    rows: tuple[PeerObservation, ...] = ()
 
 
-Event = (Hearsay | ServerList | Request | First | Note | AttemptEnded | Gone | Ends | Timer | Probed
-         | PlanNews | ByHand)
+Event = (PeerObservations | ServerList | Request | StreamStarted | AttemptProgress | AttemptEnded | ClientLeft
+         | ShutdownAnnounced | Timer | Probed | PlanUpdate | OperatorOverrides)
 
 # ------------------------------------------------------------------- actions
 
--- a/flintfield/decision/homes.py
+++ b/flintfield/decision/key_affinity.py
@@ -36,7 +36,7 @@
     return int.from_bytes(hashlib.blake2b(b"spot %d" % worker, digest_size=8).digest(), "little")
 
 
-class Homes:
+class KeyAffinity:
     """The table of cells for a set of workers."""
 
     __slots__ = ("_cells", "_mask")
--- a/flintfield/decision/learned.py
+++ b/flintfield/decision/learned.py
@@ -27,7 +27,7 @@
     left_out: int
 
 
-def learned(dispatcher: Dispatcher) -> dict[str, Any]:
+def export_learned(dispatcher: Dispatcher) -> dict[str, Any]:
     """What the dispatcher has learned, as numbers, lists and dicts that JSON and MessagePack support."""
     return {
         "form": FORMAT_VERSION,
@@ -38,7 +38,7 @@
     }
 
 
-def recall(dispatcher: Dispatcher, saved: Any) -> RestoreResult:
+def restore_learned(dispatcher: Dispatcher, saved: Any) -> RestoreResult:
     """Restore the saved figures; raises ValueError, with no change, if they are malformed."""
     try:
         if saved["form"] != FORMAT_VERSION or len(saved["costs"]) != len(dispatcher.costs):
@@ -68,14 +68,14 @@
     return RestoreResult(found, len(workers) - found)
 
 
-def spent(dispatcher: Dispatcher, now: float) -> list[list[Any]]:
+def cold_sends(dispatcher: Dispatcher, now: float) -> list[list[Any]]:
     """Jobs sent to cold workers within the last `fall_ms`: pairs of time (ms) and cost, by worker."""
     since = now - dispatcher.settings.rules.fall_ms
     return [[w.entry.worker, [list(sent) for sent in w.sent if sent[0] >= since]]
             for w in dispatcher.workers.values() if w.sent]
 
 
-def take_spent(dispatcher: Dispatcher, raw: Any) -> None:
+def restore_cold_sends(dispatcher: Dispatcher, raw: Any) -> None:
     """Count these jobs as sent by this dispatcher; raises ValueError, with no change, if malformed."""
     try:
         sends = [(int(number), [(_non_negative(at), _non_negative(cost)) for at, cost in sent])
--- a/flintfield/decision/knowing.py
+++ b/flintfield/decision/observations.py
@@ -4,7 +4,7 @@
 
 import math
 
-from flintfield.decision.desk import MEAN_SAMPLES, DispatcherState
+from flintfield.decision.state import MEAN_SAMPLES, DispatcherState
 from flintfield.decision.interface import Entry, ListMode, Outcome, Probed, Report, ServerList
 from flintfield.decision.records import Worker, lot
 
@@ -40,7 +40,7 @@
         self._rate(worker)
         return self.hands.apply_to(worker, self.now)
 
-    def _heard(self, worker: Worker, report: Report | None) -> None:
+    def _record_contact(self, worker: Worker, report: Report | None) -> None:
         """Record contact from a worker; its report shows what other dispatchers hold there."""
         if worker.down or (worker.missed and PROBE_MS * 4 < self.now - worker.word < math.inf):
             worker.born = self.now  # back after silence: most likely a new process, listed later
@@ -52,7 +52,7 @@
         if worker is not None:
             worker.probing = False
             if event.outcome in (Outcome.OK, Outcome.FULL):
-                self._heard(worker, event.report)
+                self._record_contact(worker, event.report)
             elif event.outcome is not Outcome.MOOT:
                 worker.missed = True
             self.fleet.schedule_probe(worker, self._next_probe_at(worker))
--- a/flintfield/decision/byhand.py
+++ b/flintfield/decision/operator_overrides.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flintfield.decision.interface import ByHand, WorkerId
+from flintfield.decision.interface import OperatorOverrides, WorkerId
 from flintfield.decision.records import Job, Worker
 
 
@@ -20,7 +20,9 @@
         self.back: dict[WorkerId, float] = {}
         self.cold_elsewhere = False  # another process uses this dispatcher's part of cold workers' budgets
 
-    def apply(self, event: ByHand, workers: Mapping[WorkerId, Worker], now: float) -> Iterable[Worker]:
+    def apply(
+            self, event: OperatorOverrides, workers: Mapping[WorkerId, Worker], now: float,
+    ) -> Iterable[Worker]:
         """Apply the event and return the listed workers that it changes."""
         self.out, self.back = dict.fromkeys(event.out), dict(event.back)
         self.cold_elsewhere = event.cold_elsewhere
--- a/flintfield/decision/outcomes.py
+++ b/flintfield/decision/outcomes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flintfield.decision.interface import AttemptEnded, Note, Outcome
+from flintfield.decision.interface import AttemptEnded, AttemptProgress, Outcome
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.pricing import START_MS
 from flintfield.decision.records import Attempt, Job
@@ -16,11 +16,11 @@
 class OutcomeTracking(WaitingJobs):
     """Processes progress notes and attempt outcomes."""
 
-    def _note(self, event: Note) -> None:
+    def _note(self, event: AttemptProgress) -> None:
         attempt, job = self.attempts.get((event.rid, event.attempt)), self.jobs.get(event.rid)
         if attempt is None or job is None:
             return
-        self._heard(worker := attempt.worker, None)
+        self._record_contact(worker := attempt.worker, None)
         if event.started and attempt.started is None:
             attempt.started, waited = self.now, self.now - attempt.at
             self.started += attempt.slots
@@ -53,7 +53,7 @@
         elif event.outcome in ENDED_WAITING and self._is_unreported_wait(waited := self.now - attempt.at):
             back_off_after_wait(worker, waited, self.sharers, self.now, self.random)
         if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
-            self._heard(worker, event.report)
+            self._record_contact(worker, event.report)
         if event.outcome is Outcome.ERROR and job is not None:
             count = worker.fail(job.request.cls)
             shun_after_error(worker, job.request.cls, count, self.settings.unsafe(), self.now)
--- a/flintfield/decision/heeding.py
+++ b/flintfield/decision/peer_evidence.py
@@ -4,8 +4,8 @@
 before anything else:
 
 - held slots: the slots that other dispatchers report to hold replace the estimate from a worker's reports, to
-  the extent that they are heard (`Hearsay.weight`). The estimate is kept up to date in parallel, so that
-  nothing jumps when they fall silent.
+  the extent that they are heard (`PeerObservations.weight`). The estimate is kept up to date in parallel, so
+  that nothing jumps when they fall silent.
 - a class that fails at a worker: jobs that must not fail avoid it as after this dispatcher's own errors, as
   long as there are other workers.
 - a worker that others cannot reach counts as silent until a probe from here, which is sent at once, ends.
@@ -16,9 +16,9 @@
 
 import math
 from flintfield.decision.interface import (
-    AttemptEnded, HeardOf, Hearsay, Outcome, Probed, Report, Settings, WorkerId,
+    AttemptEnded, PeerObservation, PeerObservations, Outcome, Probed, Report, Settings, WorkerId,
 )
-from flintfield.decision.knowing import PROBE_MS
+from flintfield.decision.observations import PROBE_MS
 from flintfield.decision.policy import Dispatcher
 from flintfield.decision.records import Attempt, Job, Worker
 
@@ -26,18 +26,18 @@
 HEARD_PROBE_MS = 2_000.0  # time without contact before a probe is sent, when all other dispatchers are heard
 
 
-class Heeding(Dispatcher):
+class PeerEvidenceDispatcher(Dispatcher):
     """The decisions of an instance that shares its judgements of workers with others."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.weight = 0.0
-        self.heard: dict[WorkerId, HeardOf] = {}
+        self.heard: dict[WorkerId, PeerObservation] = {}
         self.guesses: dict[WorkerId, float] = {}  # slots that others hold, as estimated from workers' reports
         self.doubted: set[WorkerId] = set()  # not reached by others, and not yet probed from here
         self.marked: dict[WorkerId, None] = {}  # changed since the last call of `news`, in order
         self.ends: list[tuple[WorkerId, int, bool]] = []  # worker, class, failed
-        self.handlers[Hearsay] = self._hearsay
+        self.handlers[PeerObservations] = self._hearsay
 
     # ------------------------------------------------- observations sent to others
 
@@ -72,7 +72,7 @@
 
     # --------------------------------------------- observations received from others
 
-    def _hearsay(self, event: Hearsay) -> None:
+    def _hearsay(self, event: PeerObservations) -> None:
         if abs(event.weight - self.weight) > MIN_WEIGHT_CHANGE:
             self.weight = event.weight
             for number in self.guesses:
@@ -109,14 +109,14 @@
         row = self.heard.get(number)
         worker.others = (row.held if row else 0.0) + (1.0 - self.weight) * guess
 
-    def _heard(self, worker: Worker, report: Report | None) -> None:
+    def _record_contact(self, worker: Worker, report: Report | None) -> None:
         number = worker.entry.worker
         self.doubted.discard(number)
         if self.weight <= 0.0 and number not in self.guesses:
-            super()._heard(worker, report)
+            super()._record_contact(worker, report)
             return
         worker.others = self.guesses.get(number, worker.others)
-        super()._heard(worker, report)
+        super()._record_contact(worker, report)
         self.guesses[number] = worker.others
         self._update_others(worker)
 
--- a/flintfield/decision/planned.py
+++ b/flintfield/decision/planned.py
@@ -20,9 +20,9 @@
 
 from collections.abc import Callable, Iterator
 
-from flintfield.decision.interface import PlanNews, PlanRow, Refuse, Request, Settings, WorkerId
+from flintfield.decision.interface import PlanUpdate, PlanRow, Refuse, Request, Settings, WorkerId
 from flintfield.decision.ending import TICK_MS
-from flintfield.decision.knowing import PROBE_MS
+from flintfield.decision.observations import PROBE_MS
 from flintfield.decision.policy import Dispatcher
 from flintfield.decision.records import Job, Worker
 from flintfield.decision.shares import Order, eligible
@@ -33,17 +33,17 @@
 PLANNED_PROBE_MS = 2_500.0  # time without contact by any dispatcher before a probe, under a fresh plan
 
 
-class Planned(Dispatcher):
+class PlannedDispatcher(Dispatcher):
     """The decisions of a forwarder: a dispatcher that accepts plans."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.plan: PlanNews | None = None
+        self.plan: PlanUpdate | None = None
         self.rows: dict[WorkerId, PlanRow] = {}
         self.leases: dict[WorkerId, float] = {}
         self.own_ranks: dict[WorkerId, float] = {}
         self.demand = 0.0  # moving average of the slots that this dispatcher's jobs hold or wait for
-        self.handlers[PlanNews] = self._plan_news
+        self.handlers[PlanUpdate] = self._plan_news
 
     def seen(self) -> Iterator[tuple[Worker, bool]]:
         """The workers that are near or run jobs of this dispatcher, each with whether the plan makes it a
@@ -67,7 +67,7 @@
             return 0.0
         return 1.0 if self.now <= plan.full_until else (plan.ends - self.now) / (plan.ends - plan.full_until)
 
-    def _plan_news(self, news: PlanNews) -> None:
+    def _plan_news(self, news: PlanUpdate) -> None:
         self.plan, self.rows, self.leases = news, {r.worker: r for r in news.rows}, dict(news.leases)
         a = self.weight()
         # Keeps slots that were held there a second ago from replacing this dispatcher's current observation.
@@ -118,7 +118,7 @@
         return own + self.leases.get(worker.entry.worker, 0.0) * budget
 
 
-class NoJobs(Dispatcher):
+class RefusingDispatcher(Dispatcher):
     """The decisions of a planner's own process: it follows the list and probes, and refuses every job.
 
     This protects the cold budget, of which a planner has no part of its own.
--- a/flintfield/decision/policy.py
+++ b/flintfield/decision/policy.py
@@ -1,7 +1,7 @@
-"""Maps each event of flintfield/decision/interface.py to actions; desk.py lists the layers of the classes.
+"""Maps each event of flintfield/decision/interface.py to actions; state.py lists the layers of the classes.
 
-Searching and counting is done by indices in fleet.py, shares.py, homes.py and others, so that nothing here
-scans the fleet or the open jobs. docs/design.md lists the paper's equations.
+Searching and counting is done by indices in fleet.py, shares.py, key_affinity.py and others, so that nothing
+here scans the fleet or the open jobs. docs/design.md lists the paper's equations.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from flintfield.decision.admission import is_too_late
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.interface import (
-    Action, AttemptEnded, ByHand, Ends, Event, Fail, First, Gone, Note, Probe, Probed, Request, ServerList,
-    SetTimer, Settings, Timer, Watch,
+    Action, AttemptEnded, OperatorOverrides, ShutdownAnnounced, Event, Fail, StreamStarted, ClientLeft,
+    AttemptProgress, Probe, Probed, Request, ServerList, SetTimer, Settings, Timer, Watch,
 )
 from flintfield.decision.outcomes import OutcomeTracking
 from flintfield.decision.records import Job
@@ -20,7 +20,7 @@
 from flintfield.decision.waiting import ANSWER_TIMER_MS
 
 MAX_PROBES_PER_TICK = 200  # limit per tick, reached for example when all workers are new
-TICK, WAKE = 0, 0xFFFFFFFF  # timer tokens; those of requests lie between
+TICK_TOKEN, WAKE = 0, 0xFFFFFFFF  # timer tokens; those of requests lie between
 
 
 class Dispatcher(OutcomeTracking):
@@ -29,9 +29,9 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.handlers |= {
-            ServerList: self._list, Request: self._request, AttemptEnded: self._ended, Note: self._note,
-            Probed: self._probed, Timer: self._timer, Gone: self._gone, First: self._first,
-            ByHand: self._by_hand, Ends: self._ends,
+            ServerList: self._list, Request: self._request, AttemptEnded: self._ended,
+            AttemptProgress: self._note, Probed: self._probed, Timer: self._timer, ClientLeft: self._gone,
+            StreamStarted: self._first, OperatorOverrides: self._by_hand, ShutdownAnnounced: self._ends,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -43,7 +43,7 @@
             self._tick()
         self.handlers[type(event)](event)
         if self.held.sorts:
-            if self.fleet.roomy and not isinstance(event, Request | Note):
+            if self.fleet.roomy and not isinstance(event, Request | AttemptProgress):
                 self._serve_held()
             if (wakes_at := self.fleet.next_wake()) < (self.wake_at if self.wake_at > now else math.inf):
                 self.wake_at = wakes_at  # so that held jobs are sent once a worker's back-off ends
@@ -58,7 +58,7 @@
         # Jobs that wait at a worker are not counted, so that they do not widen the near set.
         self.in_flight += 0.1 * (self.started - self.in_flight)
         self._resize_near()
-        self.actions.append(SetTimer(TICK_MS * self.random.uniform(0.8, 1.2), TICK))
+        self.actions.append(SetTimer(TICK_MS * self.random.uniform(0.8, 1.2), TICK_TOKEN))
         self.fleet.step_prices(self._prices)
         for worker in self.fleet.due_for_probe(self._next_probe_at, MAX_PROBES_PER_TICK) if self.asks else ():
             worker.probing, worker.probe_at = True, self.now - self.random.uniform(0, TICK_MS)
@@ -67,7 +67,7 @@
         if self.settings.ask_list and self.asking.is_due(self.now):
             self.actions.append(Watch())
 
-    def _by_hand(self, event: ByHand) -> None:
+    def _by_hand(self, event: OperatorOverrides) -> None:
         for worker in self.hands.apply(event, self.workers, self.now):
             self.fleet.schedule_probe(worker, self.now)
             self._rate(worker)
@@ -118,7 +118,7 @@
                 self.checks.put(event.rid, self.now)
 
     def _timer(self, event: Timer) -> None:
-        if event.token == TICK:
+        if event.token == TICK_TOKEN:
             self._tick()
             for rid in self.checks.pop_all_due(self.now):
                 if rid in self.jobs:
@@ -133,16 +133,16 @@
         elif due.waits():  # try a second worker; the first start cancels the other attempts
             self._place(due, anywhere=True)
 
-    def _gone(self, event: Gone) -> None:
+    def _gone(self, event: ClientLeft) -> None:
         if event.rid in self.jobs:
             self._forget(self.jobs[event.rid])
 
-    def _ends(self, event: Ends) -> None:
+    def _ends(self, event: ShutdownAnnounced) -> None:
         for job in self.jobs.values():
             if not job.running():
                 job.last = min(job.last, event.by - 2 * self.settings.resolution_ms)
                 self.checks.put(job.request.rid, self.now)
 
-    def _first(self, event: First) -> None:
+    def _first(self, event: StreamStarted) -> None:
         if event.rid in self.jobs:
             self.jobs[event.rid].streaming = True
--- a/flintfield/decision/pricing.py
+++ b/flintfield/decision/pricing.py
@@ -9,7 +9,7 @@
 import math
 
 from flintfield.decision.interface import Settings
-from flintfield.decision.knowing import PROBE_MS, WorkerTracking
+from flintfield.decision.observations import PROBE_MS, WorkerTracking
 from flintfield.decision.records import Worker
 from flintfield.decision.shares import Goods
 
--- a/flintfield/decision/rests.py
+++ b/flintfield/decision/rests.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Iterable
 
-from flintfield.decision.desk import SHORT_TERM_MS
+from flintfield.decision.state import SHORT_TERM_MS
 from flintfield.decision.pricing import START_MS
 from flintfield.decision.records import Worker
 
--- a/flintfield/decision/roster.py
+++ b/flintfield/decision/roster.py
@@ -27,8 +27,8 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Any
 
-from flintfield.decision.agenda import Agenda
-from flintfield.decision.homes import Homes
+from flintfield.decision.time_queue import TimeQueue
+from flintfield.decision.key_affinity import KeyAffinity
 from flintfield.decision.interface import Entry, State, WorkerId
 from flintfield.decision.records import Survey, Worker
 from flintfield.decision.shares import Fill, Order, Shares, tree_size
@@ -58,12 +58,12 @@
         self._log: list[int] = []  # slots whose shares may have changed; the first has number `_start`
         self._start = 0
         self._floors: list[float] = []  # minimum room of a worker for each table, ascending
-        self._time_changes: Agenda[int] = Agenda()
+        self._time_changes: TimeQueue[int] = TimeQueue()
         self._counts: Counter[Any] = Counter()  # near workers by bit, by kind if usable, by avoided class
         self._ready_by_kind: Counter[int] = Counter()  # ready workers by kind
         self._groups: dict[tuple[str, int], dict[int, Worker]] = {}  # by zone and by cell
-        self._homes: dict[bool, Homes] = {}  # True: of the near workers, False: of all
-        self._probe_times: Agenda[int] = Agenda()  # when near workers may be due for a probe, by slot
+        self._homes: dict[bool, KeyAffinity] = {}  # True: of the near workers, False: of all
+        self._probe_times: TimeQueue[int] = TimeQueue()  # when near workers may be due for a probe, by slot
         self._price_changing: set[int] = set()  # slots of near workers whose price may change
         self._newly_listed: list[Worker] = []  # listed since the near set was last resized
         self._survey: Survey | None = None  # cached for this price step
--- a/flintfield/decision/settings.py
+++ b/flintfield/decision/settings.py
@@ -134,7 +134,8 @@
     count, for example when some are down, only makes the load less even. `zone` is its location.
     `over_share_worth` is the worth of a request beyond its tenant's allowance, as a fraction of its class's.
     `ask_list`: the server list is delivered only on request; `pushed`: its news take effect all the same.
-    `first_word_ms`: for how long no job is sent by a list that may lack news in effect (asking.py).
+    `first_word_ms`: for how long no job is sent by a list that may lack news in effect
+    (discovery_schedule.py).
     `has_weights`: the list gives sizes, which are then used as quality. `reports`: workers report their load
     when probed, and with `reports_in_answers` in each outcome too. `tells_start`: a note is delivered when a
     job starts. `worth_by_work`: a request's worth is its class's worth times its work. `resolution_ms`: the
--- a/flintfield/decision/desk.py
+++ b/flintfield/decision/state.py
@@ -3,16 +3,16 @@
 The decisions are layers of subclasses over it, one topic and file each; a layer calls only those above it in
 this list:
 
-    desk       the state                            (this file)
-    knowing    the server list, load reports and probes
-    pricing    prices, shares and free capacity of workers
-    cold       limits for workers that have just started
-    ending     final answers: refused or failed, and the time to retry after
-    useful     how long a job is worth trying
-    placing    choice of a worker
-    waiting    held jobs: which is sent first, and which is given up
-    outcomes   what notes and attempt outcomes reveal about workers
-    policy     maps an event to actions
+    state         the state                            (this file)
+    observations  the server list, load reports and probes
+    pricing       prices, shares and free capacity of workers
+    cold          limits for workers that have just started
+    ending        final answers: refused or failed, and the time to retry after
+    useful        how long a job is worth trying
+    placing       choice of a worker
+    waiting       held jobs: which is sent first, and which is given up
+    outcomes      what notes and attempt outcomes reveal about workers
+    policy        maps an event to actions
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from collections.abc import Callable
 
 from flintfield.decision.accounts import Accounts
-from flintfield.decision.agenda import Agenda
-from flintfield.decision.asking import Asking
-from flintfield.decision.byhand import Hands
+from flintfield.decision.time_queue import TimeQueue
+from flintfield.decision.discovery_schedule import Asking
+from flintfield.decision.operator_overrides import Hands
 from flintfield.decision.fleet import Fleet
 from flintfield.decision.interface import Action, Settings
 from flintfield.decision.patience import Patience
@@ -48,7 +48,7 @@
         self.held = Held()  # jobs that wait at this dispatcher for a free slot
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.timers = Timers()
-        self.checks: Agenda[int] = Agenda()  # when each job is to be checked
+        self.checks: TimeQueue[int] = TimeQueue()  # when each job is to be checked
         self.ticks, self.sharers = 0, 1.0  # sharers: estimated number of dispatchers that use a worker
         self.started = 0.0  # slots held by this dispatcher's started jobs
         self.in_flight = 0.0  # moving average of `started`
--- a/flintfield/decision/agenda.py
+++ b/flintfield/decision/time_queue.py
@@ -20,7 +20,7 @@
 STALE_ALLOWANCE = 64  # stale entries that are always tolerated, however few entries are live
 
 
-class Agenda(Generic[K]):
+class TimeQueue(Generic[K]):
     """Keys and their due times; keys with equal times are ordered by when they were put."""
 
     __slots__ = ("_heap", "_numbers", "live")
--- a/flintfield/decision/waiting.py
+++ b/flintfield/decision/waiting.py
@@ -5,7 +5,7 @@
 import math
 
 from flintfield.decision.admission import LATE_RETRY_WORTH
-from flintfield.decision.desk import SHORT_TERM_MS
+from flintfield.decision.state import SHORT_TERM_MS
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.interface import SetTimer
 from flintfield.decision.placing import JobPlacement
--- a/flintfield/lab/choosers.py
+++ b/flintfield/lab/choosers.py
@@ -19,8 +19,9 @@
 from typing import Any
 
 from flintfield.decision.interface import (
-    NEVER_RAN, Action, AttemptEnded, Cancel, Effect, Entry, Event, Fail, Gone, ListMode, Note, Outcome,
-    Refuse, Request, Send, ServerList, SetTimer, Settings, State, Timer, Watch, WorkerId,
+    NEVER_RAN, Action, AttemptEnded, Cancel, Effect, Entry, Event, Fail, ClientLeft, ListMode,
+    AttemptProgress, Outcome, Refuse, Request, Send, ServerList, SetTimer, Settings, State, Timer, Watch,
+    WorkerId,
 )
 from flintfield.decision.policy import Dispatcher
 
@@ -117,9 +118,9 @@
             self._list(event)
         elif isinstance(event, Timer):
             self._timer(event)
-        elif isinstance(event, Gone):
+        elif isinstance(event, ClientLeft):
             self._forget(event.rid)
-        if self.held and not isinstance(event, Request | Note):
+        if self.held and not isinstance(event, Request | AttemptProgress):
             self.serve_held()
         return self.actions
 
--- a/flintfield/lab/planners.py
+++ b/flintfield/lab/planners.py
@@ -1,10 +1,10 @@
 """Planners and forwarders in virtual time: the engine's schedulers as forwarders, with planners beside them.
 
-What is real: `Forwarding`, `Planned` and `Planner`, the reducer, and the world. What is modelled: the link,
-as words that take the network's time and `stale_ms` more, over cuts as lost (a link that is cut is dialled
-anew; its frames are not sent again); and the planners' own watch of discovery, as its list of `LIST_MS`
-ago, which costs discovery nothing here. Planners take no virtual time; `Figures.cpu_s` has what they took
-of ours.
+What is real: `Forwarding`, `PlannedDispatcher` and `Planner`, the reducer, and the world. What is modelled:
+the link, as words that take the network's time and `stale_ms` more, over cuts as lost (a link that is cut is
+dialled anew; its frames are not sent again); and the planners' own watch of discovery, as its list of
+`LIST_MS` ago, which costs discovery nothing here. Planners take no virtual time; `Figures.cpu_s` has what
+they took of ours.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from flintfield.decision.planned import Planned
+from flintfield.decision.planned import PlannedDispatcher
 from flintfield.forwarding.bridge import digest_of, news_of
 from flintfield.forwarding.core import DIGEST_MS, Forwarding
 from flintfield.lab import log
@@ -26,7 +26,7 @@
 from flintfield.lab.world import Draws
 from flintfield.memory.messages import UnitMessage
 from flintfield.memory.reducer import Turn
-from flintfield.decision.interface import PlanNews
+from flintfield.decision.interface import PlanUpdate
 from flintfield.planning.messages import Digest, Plan
 from flintfield.planning.planner import Listed, Planner
 from flintfield.memory.messages import worker_of
@@ -82,7 +82,7 @@
 class Planning(UnitMessage):
     """A plan has come into force."""
 
-    news: PlanNews
+    news: PlanUpdate
 
 
 def _take_news(turn: Turn, message: Planning) -> None:
@@ -134,7 +134,7 @@
 
     def __init__(self, scenario: Scenario, seed: int, setup: Setup,
                  on_record: Callable[[log.AnyRecord], None] | None = None) -> None:
-        super().__init__(scenario, seed, "planned", Planned, on_record)
+        super().__init__(scenario, seed, "planned", PlannedDispatcher, on_record)
         self.setup, self.figures = setup, Figures()
         self.draws: Draws = self.streams.of("planners")
         self.forwarders: dict[int, Forwarding] = {}
@@ -194,7 +194,7 @@
     def _digest(self, scheduler: Scheduler, forwarding: Forwarding) -> None:
         if not scheduler.alive:
             return
-        dispatcher = cast(Planned, getattr(scheduler.state.dispatcher, "_inner"))  # noqa: B009
+        dispatcher = cast(PlannedDispatcher, getattr(scheduler.state.dispatcher, "_inner"))  # noqa: B009
         digest = digest_of(scheduler.clock(), dispatcher, forwarding)
         self.figures.digests += 1
         for host in self.hosts:
--- a/flintfield/lab/sharing/hearsay_faults.py
+++ b/flintfield/lab/sharing/hearsay_faults.py
@@ -7,13 +7,13 @@
 
 from msgspec.structs import replace
 
-from flintfield.decision.heeding import Heeding
+from flintfield.decision.peer_evidence import PeerEvidenceDispatcher
 from flintfield.decision.records import Worker
 from flintfield.sharing import judging
 from flintfield.sharing.evidence import News, Tally
 from flintfield.sharing.judging import Judgements
 
-_tell, _heard = Judgements.tell, Heeding._heard
+_tell, _record_contact = Judgements.tell, PeerEvidenceDispatcher._record_contact
 
 
 def _blames_all(part: Judgements, now: float, present: Iterable[int]) -> list[tuple[int, News]]:
@@ -23,10 +23,10 @@
             for place, news in _tell(part, now, present)]
 
 
-def _doubts_forever(dispatcher: Heeding, worker: Worker, report: Any) -> None:
+def _doubts_forever(dispatcher: PeerEvidenceDispatcher, worker: Worker, report: Any) -> None:
     number = worker.entry.worker
     doubted = number in dispatcher.doubted
-    _heard(dispatcher, worker, report)
+    _record_contact(dispatcher, worker, report)
     if doubted:
         dispatcher.doubted.add(number)
 
@@ -36,5 +36,5 @@
     "no-bound": (judging, "MOST_OUT", 1.0),
     "believes-whoever-blames-all": (judging, "CREDIBLE", 2.0),
     "deaf": (Judgements, "hear", lambda self, now, news: False),
-    "doubts-forever": (Heeding, "_heard", _doubts_forever),
+    "doubts-forever": (PeerEvidenceDispatcher, "_record_contact", _doubts_forever),
 }
--- a/flintfield/lab/virtual/judgements.py
+++ b/flintfield/lab/virtual/judgements.py
@@ -1,9 +1,9 @@
 """Shared judgements in virtual time: the engine's schedulers, each with its part of `sharing/judging.py`.
 
-What is real: `Judgements`, its words as they go in datagrams, `Heeding`, the reducer, and the world. What is
-modelled: the words' way, as the network's time and `late_ms` more, over cuts and by `loss` as lost. The
-scenario's `[sharing]` says who is deaf (hears nothing and is not heard) and who is wrong (says of every node
-that all fails there and that it is not reached).
+What is real: `Judgements`, its words as they go in datagrams, `PeerEvidenceDispatcher`, the reducer,
+and the world. What is modelled: the words' way, as the network's time and `late_ms` more, over cuts and by
+`loss` as lost. The scenario's `[sharing]` says who is deaf (hears nothing and is not heard) and who is wrong
+(says of every node that all fails there and that it is not reached).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from msgspec.structs import replace
 
-from flintfield.decision.heeding import Heeding
+from flintfield.decision.peer_evidence import PeerEvidenceDispatcher
 from flintfield.lab import log
 from flintfield.lab.scenario import Scenario
 from flintfield.lab.virtual.engine import Engine
@@ -46,7 +46,7 @@
 
     def __init__(self, scenario: Scenario, seed: int,
                  on_record: Callable[[log.AnyRecord], None] | None = None, reducer: Reducer = reduce) -> None:
-        super().__init__(scenario, seed, "flintfield", Heeding, on_record, reducer)
+        super().__init__(scenario, seed, "flintfield", PeerEvidenceDispatcher, on_record, reducer)
         self.figures, self.draws = Figures(), self.streams.of("sharing")
         self.parts: dict[int, Judgements] = {}
         self._began: dict[int, float] = {}
@@ -68,7 +68,7 @@
         if not scheduler.alive:
             return
         now = self.loop.now - began
-        dispatcher = cast(Heeding, getattr(scheduler.state.dispatcher, "_inner"))  # noqa: B009
+        dispatcher = cast(PeerEvidenceDispatcher, getattr(scheduler.state.dispatcher, "_inner"))  # noqa: B009
         if (hear := exchange(part, dispatcher, now)) is not None:
             scheduler.tell(hear)
         if part.listed:
--- a/flintfield/lifecycle/program.py
+++ b/flintfield/lifecycle/program.py
@@ -117,7 +117,7 @@
         """Whether this scheduler is ready; a stopping process is ready if the newest process is."""
         state = self.state
         if not state.told and self._clock() < self._first_answer_deadline:
-            # Jobs would wait here: none is sent by the list from before the start (asking.py).
+            # Jobs would wait here: none is sent by the list from before the start (discovery_schedule.py).
             return False
         return not state.drained and (not state.stopping or state.newer_ready)
 
--- a/flintfield/memory/barred.py
+++ b/flintfield/memory/barred.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flintfield.decision.interface import ByHand, WorkerId
+from flintfield.decision.interface import OperatorOverrides, WorkerId
 
 
 class Barred:
@@ -20,9 +20,10 @@
         """All excluded next hops."""
         return self.by_hand | self.by_plan
 
-    def told(self, newer: bool) -> ByHand:
+    def told(self, newer: bool) -> OperatorOverrides:
         """The event for the decision module: excluded next hops, and readmitted ones with their times."""
         back, out = dict(self.planned_returns), self.all()
         for worker, at in self.manual_returns:
             back[worker] = max(at, back.get(worker, 0.0))
-        return ByHand(tuple(sorted(out)), tuple((w, at) for w, at in back.items() if w not in out), newer)
+        return OperatorOverrides(
+            tuple(sorted(out)), tuple((w, at) for w, at in back.items() if w not in out), newer)
--- a/flintfield/memory/branching.py
+++ b/flintfield/memory/branching.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from flintfield.decision.interface import NEVER_RAN, AttemptEnded, Note, Outcome, State as Lifecycle, WorkerId
+from flintfield.decision.interface import (
+    NEVER_RAN, AttemptEnded, AttemptProgress, Outcome, State as Lifecycle, WorkerId,
+)
 from flintfield.memory.answering import Answering
 from flintfield.memory.messages import (
     BranchEnded, BranchNoted, DropBranch, End, Ending, Reach, Route, Verdict, WriteBranch,
@@ -75,7 +77,7 @@
         if found := self._open_branch(message.rid, message.branch):
             if self.state.jobs and message.share and not found[0].answered:
                 self.state.jobs.note(found[0].submission.name, message.share)
-            self._events.append(Note(message.rid, message.branch, found[1].worker, message.started,
+            self._events.append(AttemptProgress(message.rid, message.branch, found[1].worker, message.started,
                                      message.share))
 
     def branch_ended(self, message: BranchEnded) -> None:
--- a/flintfield/memory/listing.py
+++ b/flintfield/memory/listing.py
@@ -15,7 +15,7 @@
 
 
 class Listing(Taking):
-    """Maintains the route set from discovery's answers; decision/asking.py decides when to call."""
+    """Maintains the route set from discovery's answers; decision/discovery_schedule.py says when to call."""
 
     def watch(self, _: Watch) -> None:
         if not self.state.watching:
--- a/flintfield/memory/reducer.py
+++ b/flintfield/memory/reducer.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from flintfield.decision.interface import (
-    Cancel, Effect as ClassEffect, Ends, Fail, Gone, Outcome, Probe, Probed, Refuse, Send, SetTimer, Timer,
-    Watch,
+    Cancel, Effect as ClassEffect, ShutdownAnnounced, Fail, ClientLeft, Outcome, Probe, Probed, Refuse, Send,
+    SetTimer, Timer, Watch,
 )
 from flintfield.memory.branching import outcome_of
 from flintfield.memory.listing import Listing
@@ -109,7 +109,7 @@
             # Rule 1, whatever the decision module does: every caller gets an answer.
             self._defect("overdue transaction", transaction.submission.name)
             self._answer(rid, Verdict.FAILED)
-            self._events.append(Gone(rid))
+            self._events.append(ClientLeft(rid))
 
     def stop_asked(self, message: StopAsked) -> None:
         """Limit the deadlines of transactions without an open branch, to answer them before the kill."""
@@ -119,7 +119,7 @@
             if not transaction.answered and all(b.ended for b in transaction.branches):
                 transaction.deadline = min(transaction.deadline, message.settle_by)
                 state.timers.set(transaction.deadline, DeadlineTimer(transaction.rid))
-        self._events.append(Ends(message.settle_by))
+        self._events.append(ShutdownAnnounced(message.settle_by))
 
 
 Turn.MESSAGES = {
--- a/flintfield/memory/state.py
+++ b/flintfield/memory/state.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from flintfield.decision.agenda import Agenda
+from flintfield.decision.time_queue import TimeQueue
 from flintfield.decision.interface import Action, Event, Limits, WorkerId
 from flintfield.decision.policy import Dispatcher
 from flintfield.memory.barred import Barred
@@ -83,7 +83,7 @@
     """Pending timers, soonest first. The space taken by cancelled timers is bounded."""
 
     def __init__(self) -> None:
-        self._agenda: Agenda[TimerKey] = Agenda()
+        self._agenda: TimeQueue[TimerKey] = TimeQueue()
 
     def __len__(self) -> int:
         return len(self._agenda)
--- a/flintfield/memory/succession.py
+++ b/flintfield/memory/succession.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from flintfield.decision.learned import learned, recall, spent, take_spent
+from flintfield.decision.learned import export_learned, restore_learned, cold_sends, restore_cold_sends
 from flintfield.decision.values import value
 from flintfield.memory.messages import UnitEffect, UnitMessage
 
@@ -54,7 +54,7 @@
 
 def figures_of(state: State, now: float) -> dict[str, Any]:
     """The figures that a newer process inherits, as plain values."""
-    return {"learned": learned(state.dispatcher), "spent": spent(state.dispatcher, now)}
+    return {"learned": export_learned(state.dispatcher), "spent": cold_sends(state.dispatcher, now)}
 
 
 class Succession:
@@ -67,8 +67,8 @@
         """Load the inherited figures."""
         dispatcher = turn.state.dispatcher
         try:
-            recall(dispatcher, message.figures["learned"])
-            take_spent(dispatcher, message.figures["spent"])
+            restore_learned(dispatcher, message.figures["learned"])
+            restore_cold_sends(dispatcher, message.figures["spent"])
         except (ValueError, KeyError, TypeError) as error:
             turn.effects.append(Nothing(str(error)))
         else:
--- a/flintfield/memory/taking.py
+++ b/flintfield/memory/taking.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flintfield.decision.interface import Gone, Request
+from flintfield.decision.interface import ClientLeft, Request
 from flintfield.memory.keeping import Keeping
 from flintfield.memory.messages import CallerLeft, JobOpened, Submitted, Untracked, Verdict
 from flintfield.memory.state import DeadlineTimer, Transaction
@@ -78,7 +78,7 @@
             return
         self.state.counters["requests.open_elsewhere"] += 1
         self._answer(rid, Verdict.FAILED)
-        self._events.append(Gone(rid))
+        self._events.append(ClientLeft(rid))
 
     def caller_left(self, message: CallerLeft) -> None:
         transaction = self.state.transactions.get(message.rid)
@@ -86,4 +86,4 @@
             return
         self.state.counters[f"requests.left.{transaction.submission.class_name}"] += 1
         self._answer(message.rid, Verdict.FAILED)  # it may only have closed its sending side
-        self._events.append(Gone(message.rid))
+        self._events.append(ClientLeft(message.rid))
--- a/flintfield/memory/turn.py
+++ b/flintfield/memory/turn.py
@@ -19,7 +19,7 @@
 
 from flintfield.decision.ending import TICK_MS
 from flintfield.decision.interface import Action, Event, Fail, Request, Send, SetTimer, Timer
-from flintfield.decision.policy import TICK
+from flintfield.decision.policy import TICK_TOKEN
 from flintfield.memory.messages import Defect, Effect, Message
 from flintfield.memory.state import State
 
@@ -70,9 +70,9 @@
             self._defect(f"decision on {type(event).__name__}", repr(error))
             actions = list(dispatcher.actions)
             self._call_tap(event)
-            if isinstance(event, Timer) and event.token == TICK:
-                actions = [a for a in actions if not (isinstance(a, SetTimer) and a.token == TICK)]
-                actions.append(SetTimer(TICK_MS, TICK))
+            if isinstance(event, Timer) and event.token == TICK_TOKEN:
+                actions = [a for a in actions if not (isinstance(a, SetTimer) and a.token == TICK_TOKEN)]
+                actions.append(SetTimer(TICK_MS, TICK_TOKEN))
             if isinstance(event, Request) and not any(isinstance(a, Send) for a in actions):
                 actions.append(Fail(event.rid))
             return actions
--- a/flintfield/sharing/bridge.py
+++ b/flintfield/sharing/bridge.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from flintfield.decision.heeding import Heeding
-from flintfield.decision.interface import HeardOf, Hearsay
+from flintfield.decision.peer_evidence import PeerEvidenceDispatcher
+from flintfield.decision.interface import PeerObservation, PeerObservations
 from flintfield.memory.messages import UnitMessage
 from flintfield.memory.reducer import Turn
 from flintfield.sharing.experience import Look
@@ -16,7 +16,7 @@
 class Hear(UnitMessage):
     """Something is heard anew of worker nodes."""
 
-    news: Hearsay
+    news: PeerObservations
 
 
 def take_hearsay(turn: Turn, message: Hear) -> None:
@@ -24,7 +24,7 @@
     turn.ask(message.news)
 
 
-def exchange(part: Judgements, dispatcher: Heeding, now: float) -> Hear | None:
+def exchange(part: Judgements, dispatcher: PeerEvidenceDispatcher, now: float) -> Hear | None:
     """Hand over what the decisions saw, and give back what they are to know; None if that is nothing new.
 
     `now`: ms of our life, the clock of the judgements.
@@ -41,5 +41,5 @@
     rows, weight = part.step(now), round(part.weight(now), 3)
     if not rows and abs(weight - dispatcher.weight) < 0.01:
         return None
-    return Hear(Hearsay(weight, tuple(
-        HeardOf(r.worker, r.held, r.most, r.avoid, r.unreached) for r in rows)))
+    return Hear(PeerObservations(weight, tuple(
+        PeerObservation(r.worker, r.held, r.most, r.avoid, r.unreached) for r in rows)))
--- a/flintfield/units/judging.py
+++ b/flintfield/units/judging.py
@@ -14,7 +14,7 @@
 import anyio
 
 from flintfield.base.ini import OperatorsError
-from flintfield.decision.heeding import Heeding
+from flintfield.decision.peer_evidence import PeerEvidenceDispatcher
 from flintfield.decision.policy import Dispatcher
 from flintfield.memory.messages import UnitEffect, UnitMessage
 from flintfield.memory.reducer import Turn
@@ -66,7 +66,7 @@
                                  "tell what others hold")
         self._host, self._members, self._names = host, members, names
         settings = host.config.settings
-        self.dispatcher = Heeding(settings, host.config.seed)
+        self.dispatcher = PeerEvidenceDispatcher(settings, host.config.seed)
         host.state.dispatcher = self.dispatcher
         self.part = Judgements(place, places, int(host.began), settings.zone)
 
--- a/flintfield/units/role.py
+++ b/flintfield/units/role.py
@@ -15,8 +15,8 @@
 
 from flintfield.base.config import read_address
 from flintfield.base.ini import FILE, OperatorsError, Reader, Section, whole, word
-from flintfield.decision.interface import PlanNews, State as Lifecycle
-from flintfield.decision.planned import NoJobs, Planned
+from flintfield.decision.interface import PlanUpdate, State as Lifecycle
+from flintfield.decision.planned import RefusingDispatcher, PlannedDispatcher
 from flintfield.decision.policy import Dispatcher
 from flintfield.forwarding.bridge import digest_of, news_of
 from flintfield.forwarding.core import MOST_PLANNERS, Forwarding
@@ -95,7 +95,7 @@
 class NewPlan(UnitMessage):
     """Another plan is in force."""
 
-    news: PlanNews
+    news: PlanUpdate
 
 
 def _take_news(turn: Turn, message: NewPlan) -> None:
@@ -134,7 +134,7 @@
             raise OperatorsError("[role] role: found forwarder beside [sharing] judgements, expected one of "
                                  "them: plans tell what others hold")
         settings = host.config.settings
-        self._dispatcher = Planned(settings, host.config.seed)
+        self._dispatcher = PlannedDispatcher(settings, host.config.seed)
         host.state.dispatcher = self._dispatcher
         # Each life has a name of its own, so that its digests are not taken for old ones.
         self._forwarding = Forwarding(f"{host.config.name[:40]}.{int(host.began) % 10**10}", settings.zone,
@@ -224,7 +224,7 @@
     def __init__(self, host: Host, told: RoleOn) -> None:
         super().__init__(host, told)
         settings = host.config.settings
-        host.state.dispatcher = NoJobs(settings, host.config.seed)
+        host.state.dispatcher = RefusingDispatcher(settings, host.config.seed)
         worths = [c.worth for c in settings.classes]
         top = min(worths) / (max(worths) or 1.0)
         self._planner = Planner(told.place, len(told.planners), max(1, int(host.clock())),
--- a/flintfield/units/store.py
+++ b/flintfield/units/store.py
@@ -16,7 +16,7 @@
 
 from flintfield.base.ini import FOLDER, OperatorsError, Section, number, word
 from flintfield.decision.interface import Effect as MayRepeat
-from flintfield.decision.learned import learned, recall
+from flintfield.decision.learned import export_learned, restore_learned
 from flintfield.memory.jobs import JobRecord
 from flintfield.memory.ledger import Ledger
 from flintfield.memory.messages import Keep, KeepFailed, Kept, Lasting, TryKeep, UnitMessage
@@ -208,7 +208,7 @@
 
     def _recall(self, turn: Turn, message: Recall) -> None:
         try:
-            found = recall(turn.state.dispatcher, message.learned)
+            found = restore_learned(turn.state.dispatcher, message.learned)
         except ValueError as error:
             self._host.errors.line("nothing recalled", error=error)
             return
@@ -255,7 +255,7 @@
         if ledger is None or not ledger.up:
             return
         batch = Batch()
-        saved = Snapshot(self._storage.read.clock.now(), learned(self._host.state.dispatcher))
+        saved = Snapshot(self._storage.read.clock.now(), export_learned(self._host.state.dispatcher))
         batch.put(MODULE, LEARNED, msgspec.msgpack.encode(saved))
         try:
             self._storage.submit(batch, self._behind, self._note)
--- a/flintfield/wire/simulator/frames.py
+++ b/flintfield/wire/simulator/frames.py
@@ -12,8 +12,9 @@
 
 from flintfield.base import settings as base
 from flintfield.decision.interface import (
-    Action, AttemptEnded, Cancel, Entry, Event, Fail, First, Gone, ListMode, Note, Outcome, Probe, Probed,
-    Refuse, Report, Request, Send, ServerList, SetTimer, Settings, State, Timer, Watch,
+    Action, AttemptEnded, Cancel, Entry, Event, Fail, StreamStarted, ClientLeft, ListMode, AttemptProgress,
+    Outcome, Probe, Probed, Refuse, Report, Request, Send, ServerList, SetTimer, Settings, State, Timer,
+    Watch,
 )
 
 BATCH_HEAD = struct.Struct("<dII")
@@ -152,9 +153,9 @@
         return Request(rid, cls, deadline, tenant, key, hint if flags & 1 else None, slots or 1.0, memory,
                        bool(flags & 2))
     if code == STREAMING:
-        return First(v[0], v[1], worker_id(v[2]))
+        return StreamStarted(v[0], v[1], worker_id(v[2]))
     if code == NOTICE:
-        return Note(v[0], v[1], worker_id(v[2]), v[3] == 1, v[4] if v[3] == 2 else 0.0)
+        return AttemptProgress(v[0], v[1], worker_id(v[2]), v[3] == 1, v[4] if v[3] == 2 else 0.0)
     if code == ENDED:
         rid, _, over, attempt, ending, took, raw, _ = v
         report = _report(body, LAYOUT[ENDED].size - 1, fields)
@@ -162,7 +163,7 @@
     if code == PROBE_RESULT:
         report = _report(body, LAYOUT[PROBE_RESULT].size - 1, fields)
         return Probed(worker_id(v[0]), _outcome(v[1]), v[2], report)
-    return Gone(v[0]) if code == ABANDONED else Timer(v[0])
+    return ClientLeft(v[0]) if code == ABANDONED else Timer(v[0])
 
 
 def split_records(body: bytes, count: int) -> Iterator[tuple[int, bytes]]:
--- a/tests/support/plain.py
+++ b/tests/support/plain.py
@@ -10,7 +10,7 @@
 
 from flintfield.decision.cold import COLD_PART
 from flintfield.decision.interface import Effect, Group, State
-from flintfield.decision.knowing import PROBE_MS
+from flintfield.decision.observations import PROBE_MS
 from flintfield.decision.placing import SPARE_SLOTS
 from flintfield.decision.policy import Dispatcher
 from flintfield.decision.pricing import START_MS, ZETA
--- a/tests/test_agenda.py
+++ b/tests/test_agenda.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from flintfield.decision.agenda import STALE_ALLOWANCE, Agenda
+from flintfield.decision.time_queue import STALE_ALLOWANCE, TimeQueue
 from test_memory import DONE, Memory
 from flintfield.memory.messages import BranchEnded, BranchUp
 
@@ -13,7 +13,7 @@
 
 @given(STEPS)
 def test_keys_come_due_in_order_whatever_was_replaced_or_dropped(steps: list[tuple[str, int, int]]) -> None:
-    agenda, plain, now = Agenda[int](), dict[int, float](), 0.0
+    agenda, plain, now = TimeQueue[int](), dict[int, float](), 0.0
     for what, key, at in steps:
         if what == "p":
             if plain.get(key) != at:
@@ -30,13 +30,13 @@
             assert list(agenda.pop_all_due(now)) == due
             plain = {k: at for k, at in plain.items() if k not in due}
         assert agenda.live == plain and agenda.next_at() == min(plain.values(), default=None)
-    again = Agenda[int]()
+    again = TimeQueue[int]()
     again.restore(agenda.kept(), 0.0)
     assert list(again.pop_all_due(99.0)) == list(agenda.pop_all_due(99.0))
 
 
 def test_dropped_entries_do_not_accumulate() -> None:
-    agenda = Agenda[int]()
+    agenda = TimeQueue[int]()
     for n in range(10_000):
         agenda.put(n, 20_000.0 + n)
         agenda.drop(n - 5)
@@ -45,7 +45,7 @@
 
 
 def test_a_put_during_iteration_over_due_keys_is_seen() -> None:
-    agenda = Agenda[int]()
+    agenda = TimeQueue[int]()
     for n in range(3):
         agenda.put(n, 1.0)
     taken = []
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -9,7 +9,7 @@
 
 from click.testing import CliRunner
 
-from flintfield.decision.asking import Asking
+from flintfield.decision.discovery_schedule import Asking
 from tools.fleet_counts import main, read_folder, sum_up
 
 WITHIN_MS, CALL_MS, WAIT_MS = 10_000.0, 125.0, 1_000.0
--- a/tests/test_judgements.py
+++ b/tests/test_judgements.py
@@ -11,9 +11,9 @@
 from msgspec.structs import replace
 
 from helpers import World, only, sent_to, settings
-from flintfield.decision.heeding import Heeding
+from flintfield.decision.peer_evidence import PeerEvidenceDispatcher
 from flintfield.decision.interface import (
-    Entry, HeardOf, Hearsay, ListMode, Outcome, Probe, Probed, Report, ServerList,
+    Entry, PeerObservation, PeerObservations, ListMode, Outcome, Probe, Probed, Report, ServerList,
 )
 from flintfield.lab import scenario as scenarios, virtual
 from flintfield.lab.judge import judge
@@ -258,7 +258,7 @@
 
 def heeding(entries: list[Entry], free: float = 4) -> World:
     world = World(settings(), entries, free=None)
-    world.dispatcher = Heeding(world.given, 1)
+    world.dispatcher = PeerEvidenceDispatcher(world.given, 1)
     world.feed(ServerList(ListMode.CACHED, tuple(entries)))
     for entry in entries:
         world.dispatcher.workers[entry.worker].most = free
@@ -269,21 +269,21 @@
     world = heeding([Entry(1)])
     worker = world.dispatcher.workers[1]
     worker.others = 2.0
-    world.feed(Hearsay(1.0, (HeardOf(1, 0.0, 4.0),)))
+    world.feed(PeerObservations(1.0, (PeerObservation(1, 0.0, 4.0),)))
     assert worker.others == 0.0
-    world.feed(Hearsay(0.5, (HeardOf(1, 1.0, 4.0),)))
+    world.feed(PeerObservations(0.5, (PeerObservation(1, 1.0, 4.0),)))
     assert worker.others == pytest.approx(2.0)
-    world.feed(Hearsay(0.0, (HeardOf(1, 0.0, 4.0),)))
+    world.feed(PeerObservations(0.0, (PeerObservation(1, 0.0, 4.0),)))
     assert worker.others == pytest.approx(2.0)
 
 
 def test_a_node_that_others_do_not_reach_gets_nothing_until_our_own_probe_ends() -> None:
     world = heeding([Entry(1), Entry(2)])
-    world.feed(Hearsay(1.0, (HeardOf(1, 0.0, 4.0, (), True),)))
+    world.feed(PeerObservations(1.0, (PeerObservation(1, 0.0, 4.0, (), True),)))
     assert {w for n in range(6) for w in sent_to(world.request(n))} == {2}
     asked = [p.worker for p in only(world.wait(250, answer_probes=None), Probe)]
     assert 1 in asked
-    world.feed(Hearsay(1.0, (HeardOf(1, 0.0, 4.0, (), True),)))
+    world.feed(PeerObservations(1.0, (PeerObservation(1, 0.0, 4.0, (), True),)))
 
     world.feed(Probed(1, Outcome.OK, 1.0, Report(free=4)))
     assert 1 in {w for n in range(10, 16) for w in sent_to(world.request(n))}
--- a/tests/test_lab_planners.py
+++ b/tests/test_lab_planners.py
@@ -9,9 +9,9 @@
 import pytest
 
 from flintfield.decision.interface import (
-    Entry, ListMode, PlanNews, PlanRow, Request, RequestClass, Send, ServerList, Settings, State,
+    Entry, ListMode, PlanUpdate, PlanRow, Request, RequestClass, Send, ServerList, Settings, State,
 )
-from flintfield.decision.planned import Planned
+from flintfield.decision.planned import PlannedDispatcher
 from flintfield.decision.records import Job
 from flintfield.lab import planners, scenario as scenarios
 from flintfield.lab.judge import judge
@@ -65,14 +65,14 @@
 
 # ------------------------------------------------------------------------ the module
 
-def told(ends: float, full_until: float = 0.0) -> Planned:
-    made = Planned(Settings((RequestClass(500.0, 5_000.0),)), 4)
+def told(ends: float, full_until: float = 0.0) -> PlannedDispatcher:
+    made = PlannedDispatcher(Settings((RequestClass(500.0, 5_000.0),)), 4)
     made.handle(0.0, ServerList(ListMode.FULL, tuple(Entry(w) for w in (1, 2, 3, 4))))
-    made.handle(0.0, PlanNews(full_until, ends, (PlanRow(1, 1.0, 0.0, 0.0, 2.0, 1.0, 0.0, True),)))
+    made.handle(0.0, PlanUpdate(full_until, ends, (PlanRow(1, 1.0, 0.0, 0.0, 2.0, 1.0, 0.0, True),)))
     return made
 
 
-def part_at_home(module: Planned, now: float) -> float:
+def part_at_home(module: PlannedDispatcher, now: float) -> float:
     module.now, module.random = now, random.Random(1)
     job = Job(Request(1, 0, 9e9), now, 1.0, 1.0)
     drawn = [module._draw(job, anywhere=True) for _ in range(2_000)]
@@ -88,11 +88,11 @@
 
 
 def test_a_lease_adds_to_our_own_part_until_it_ends_and_without_one_only_ours_is_used() -> None:
-    module = Planned(Settings((RequestClass(500.0, 5_000.0),)), 4)
+    module = PlannedDispatcher(Settings((RequestClass(500.0, 5_000.0),)), 4)
     module.handle(0.0, ServerList(ListMode.FULL, (Entry(1),)))
     worker = module.workers[1]
     assert module._cold_share(worker, 100.0) == pytest.approx(60.0)
-    module.handle(1.0, PlanNews(500.0, 1_000.0, (), ((1, 0.4),)))
+    module.handle(1.0, PlanUpdate(500.0, 1_000.0, (), ((1, 0.4),)))
     assert module._cold_share(worker, 100.0) == pytest.approx(100.0)
     module.now = 1_000.0
     assert module._cold_share(worker, 100.0) == pytest.approx(60.0)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,8 +6,8 @@
 
 from helpers import LIMITS, RULES, World, only, sent_to, settings
 from flintfield.decision.interface import (
-    Cancel, Effect, Entry, Fail, Group, ListMode, Note, Outcome, Probe, Probed, Refuse, Report, RequestClass,
-    Send, ServerList, Tenant,
+    Cancel, Effect, Entry, Fail, Group, ListMode, AttemptProgress, Outcome, Probe, Probed, Refuse, Report,
+    RequestClass, Send, ServerList, Tenant,
 )
 from flintfield.decision.pricing import START_MS
 
@@ -112,7 +112,7 @@
         world, first = waiting_world(effect)
         second = sent_to(world.wait(45, answer_probes=None))
         assert second == [3 - first]
-        assert only(world.feed(Note(7, 1, second[0], started=True)), Cancel) == [Cancel(7, 0)]
+        assert only(world.feed(AttemptProgress(7, 1, second[0], started=True)), Cancel) == [Cancel(7, 0)]
 
 
 def test_an_unsafe_job_is_not_sent_to_a_second_worker() -> None:
@@ -125,7 +125,7 @@
     ended = world.wait(1_500)
     assert only(ended, Fail) == [Fail(7)] and only(ended, Cancel) == [Cancel(7, 0)]
     started, worker = waiting_world(Effect.UNSAFE)
-    started.feed(Note(7, 0, worker, started=True))
+    started.feed(AttemptProgress(7, 0, worker, started=True))
     assert not only(started.wait(1_500), Fail)
 
 
@@ -136,7 +136,7 @@
         world.now += 10_000
         world.request(rid)
         world.now += 100
-        world.feed(Note(rid, 0, 1, started=True))
+        world.feed(AttemptProgress(rid, 0, 1, started=True))
         rests.append(world.dispatcher.workers[1].rest)
     assert rests == [100.0, 200.0, 400.0]
     assert not sent_to(world.request(9))
@@ -179,7 +179,7 @@
     world = World(settings(tells_start=True), FLEET, free=4)
     for rid in range(50):
         for worker in sent_to(world.request(rid)):
-            world.feed(Note(rid, 0, worker, started=True))
+            world.feed(AttemptProgress(rid, 0, worker, started=True))
             world.end(rid, worker, Outcome.OK, over=True)
     world.feed(ServerList(ListMode.FULL, ()))
     world.wait(6_000)
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -16,7 +16,8 @@
 
 from helpers import LIMITS, World, only, sent_to, settings
 from flintfield.decision.interface import (
-    Effect, Entry, Fail, Note, Outcome, Probed, Refuse, Report, Request, RequestClass, Send, Settings, Tenant,
+    Effect, Entry, Fail, AttemptProgress, Outcome, Probed, Refuse, Report, Request, RequestClass, Send,
+    Settings, Tenant,
 )
 from flintfield.decision.pricing import RHO, shares_at
 from flintfield.decision.rests import SHUN_MS
@@ -116,7 +117,7 @@
     world.request(1)
     world.now += 60
     assert not sent_to(world.request(2))
-    world.feed(Note(1, 0, 1, started=True))
+    world.feed(AttemptProgress(1, 0, 1, started=True))
     world.now += 5
     assert sent_to(world.request(3))
 
@@ -162,8 +163,8 @@
         assert sent_to(world.request(rid)) == [attempt_worker]
         world.now += 2 + n
     world.now += 1_000
-    world.feed(Note(1, 0, 1, started=False, done=0.1))
-    world.feed(Note(2, 0, 2, started=False, done=0.9))
+    world.feed(AttemptProgress(1, 0, 1, started=False, done=0.1))
+    world.feed(AttemptProgress(2, 0, 2, started=False, done=0.9))
     workers = world.dispatcher.workers
     assert workers[1].zeta < workers[2].zeta
 
@@ -173,7 +174,7 @@
     world.request(1)
     assert only(world.feed(Request(2, 9, world.now + 100)), Fail) == [Fail(2)]
     world.end(77, 5, Outcome.OK, over=True)
-    world.feed(Note(77, 0, 5, started=True))
+    world.feed(AttemptProgress(77, 0, 5, started=True))
     world.feed(Probed(5, Outcome.OK, 1.0, Report()))
     world.wait(6_000)
     assert len([a for _, a in world.log if isinstance(a, Refuse | Fail)]) == 2
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,8 +9,8 @@
 from hypothesis import given, strategies as st
 
 from flintfield.decision.checkpoint import restore, save
-from flintfield.decision.interface import ByHand, Entry, ListMode, Outcome, Probe, ServerList
-from flintfield.decision.learned import spent, take_spent
+from flintfield.decision.interface import OperatorOverrides, Entry, ListMode, Outcome, Probe, ServerList
+from flintfield.decision.learned import cold_sends, restore_cold_sends
 from flintfield.memory.messages import (
     Answer, BranchUp, JobClosed, JobOpened, OpenBranch, Route, RouteNews, ShutHops, Verdict, WriteBranch,
     worker_of,
@@ -141,10 +141,10 @@
 
 def test_a_readmitted_worker_is_cold_from_readmission_despite_an_earlier_start() -> None:
     world = World(settings(), [Entry(1), Entry(2)])
-    world.feed(ByHand((1,)))
+    world.feed(OperatorOverrides((1,)))
     assert {2} == {w for rid in range(1, 4) for w in sent_to(world.request(rid))}
     world.wait(500)
-    world.feed(ByHand((), ((1, world.now),)))
+    world.feed(OperatorOverrides((), ((1, world.now),)))
     back, worker = world.now, world.dispatcher.workers[1]
     assert worker.born == back and worker.is_cold(world.given.rules, world.now)
     world.feed(ServerList(ListMode.DELTA, (Entry(1, started_ms=back - 300),)))
@@ -155,9 +155,9 @@
 
 def test_an_excluded_worker_is_not_probed_and_a_readmitted_one_at_once() -> None:
     world = World(replace(settings(), reports_in_answers=False), [Entry(1), Entry(2)])
-    world.feed(ByHand((1,)))
+    world.feed(OperatorOverrides((1,)))
     assert 1 not in [p.worker for p in only(world.wait(3_000), Probe)]
-    world.feed(ByHand((), ((1, world.now),)))
+    world.feed(OperatorOverrides((), ((1, world.now),)))
     assert 1 in [p.worker for p in only(world.wait(300), Probe)]
 
 
@@ -168,20 +168,20 @@
     old = world()
     assert sent_to(old.request(1, hint_ms=100.0)) == [1]
     new = world()
-    take_spent(new.dispatcher, spent(old.dispatcher, old.now))
+    restore_cold_sends(new.dispatcher, cold_sends(old.dispatcher, old.now))
     assert new.dispatcher.workers[1].sent == old.dispatcher.workers[1].sent
-    old.feed(ByHand(cold_elsewhere=True))
+    old.feed(OperatorOverrides(cold_elsewhere=True))
     assert sent_to(old.request(2, hint_ms=100.0)) == []
     old.end(1, 1, Outcome.OK, over=True)
     assert sent_to(old.wait(100)) == []
-    assert sent_to(old.feed(ByHand())) == [1]  # the newer process has died
+    assert sent_to(old.feed(OperatorOverrides())) == [1]  # the newer process has died
     for raw in (None, [[1]], [[1, [[1]]]], [["a", []]], [[1, [["x", 1]]]]):
         with pytest.raises(ValueError):
-            take_spent(new.dispatcher, raw)
+            restore_cold_sends(new.dispatcher, raw)
 
 
 def test_orders_are_in_a_checkpoint() -> None:
     world = World(settings(), [Entry(1), Entry(2)])
-    world.feed(ByHand((1,), ((2, 500.0),), True))
+    world.feed(OperatorOverrides((1,), ((2, 500.0),), True))
     again = restore(world.given, save(world.dispatcher))
     assert again.workers[1].barred and again.hands.cold_elsewhere and list(again.hands.out) == [1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 
 from helpers import World, only, sent_to, settings
 from flintfield.decision.interface import (
-    Cancel, Effect, Entry, Fail, Gone, Group, ListMode, Outcome, Refuse, RequestClass, Send, ServerList,
+    Cancel, Effect, Entry, Fail, ClientLeft, Group, ListMode, Outcome, Refuse, RequestClass, Send, ServerList,
     State, Watch,
 )
 
@@ -46,7 +46,7 @@
 def test_a_client_that_left_gets_no_answer() -> None:
     world = World(settings(), [Entry(1)])
     world.request(7)
-    assert world.feed(Gone(7)) == [Cancel(7, 0)]
+    assert world.feed(ClientLeft(7)) == [Cancel(7, 0)]
     world.wait(6_000)
     assert not [a for _, a in world.log if isinstance(a, Refuse | Fail)]
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from flintfield.decision.homes import MAX_WEIGHT, Homes
+from flintfield.decision.key_affinity import MAX_WEIGHT, KeyAffinity
 from flintfield.decision.interface import Entry
 from flintfield.decision.pricing import shares_at
 from flintfield.decision.records import Worker
@@ -116,7 +116,7 @@
 def test_keys_follow_weights_and_a_change_moves_only_its_own_keys() -> None:
     pool = workers(60)
     weight = {w.slot: 0.2 + w.slot % 4 for w in pool}
-    homes = Homes(pool)
+    homes = KeyAffinity(pool)
     keys = range(1, 30_001)
 
     def find(changed: dict[int, float]) -> dict[int, int]:
@@ -133,9 +133,9 @@
     assert all(gone[k] == home for k, home in at.items() if home != 7) and 7 not in gone.values()
     more = find({8: 2 * weight[8]})
     assert weight[8] * 2 <= MAX_WEIGHT and all(more[k] in (home, 8) for k, home in at.items())
-    assert Homes(reversed(pool)).find(5, weight.__getitem__, lambda w: True) == pool[at[5]]
+    assert KeyAffinity(reversed(pool)).find(5, weight.__getitem__, lambda w: True) == pool[at[5]]
 
 
 def test_a_key_has_no_home_if_no_worker_has_weight() -> None:
     pool = workers(500)
-    assert Homes(pool).find(3, lambda slot: 0.0, lambda w: True) is None
+    assert KeyAffinity(pool).find(3, lambda slot: 0.0, lambda w: True) is None
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -18,7 +18,7 @@
 import pytest
 
 from flintfield.base.settings import FIRST_WORD_MS
-from flintfield.decision.asking import CALL_MS
+from flintfield.decision.discovery_schedule import CALL_MS
 from flintfield.decision.interface import ListMode
 from flintfield.memory.messages import CallDiscovery, DiscoveryMoved, OpenBranch, RouteCallFailed, RouteNews
 from flintfield.wire.http1.discovery import wait_ms, within_ms
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,8 @@
 from flintfield import drill
 from flintfield.wire.simulator import frames as wire
 from flintfield.decision.interface import (
-    Action, AttemptEnded, Cancel, Effect, Fail, Group, ListMode, Note, Outcome, Probe, Refuse, Request,
-    Send, ServerList, SetTimer, State, Timer, Watch,
+    Action, AttemptEnded, Cancel, Effect, Fail, Group, ListMode, AttemptProgress, Outcome, Probe, Refuse,
+    Request, Send, ServerList, SetTimer, State, Timer, Watch,
 )
 from flintfield.decision.policy import Dispatcher
 
@@ -65,7 +65,7 @@
 def test_notes_and_timers_are_decoded() -> None:
     note = bytes.fromhex("c4913a5d 00 0a124a07 5b1b 02 0000003f")
     event = wire.read_event(wire.NOTICE, note, {}, ())
-    assert isinstance(event, Note)
+    assert isinstance(event, AttemptProgress)
     assert (event.started, event.done) == (False, 0.5)
     assert wire.read_event(wire.ELAPSED, bytes.fromhex("4d000000"), {}, ()) == Timer(77)
 
