--- a/flintfield/lab/faults.py
+++ b/flintfield/lab/faults.py
@@ -24,8 +24,8 @@
 from flintfield.lab.scenario import Scenario
 from flintfield.lab.verdict import Rule, Verdict
 from flintfield.memory.messages import (
-    Answer, BranchEnded, Effect, End, Ending, Message, OpenBranch, Reach, RouteNews, StopAsked, Submitted,
-    Verdict as Final, Woke,
+    Answer, BranchEnded, Effect, End, Ending, Message, OpenBranch, Reach, RouteUpdate, StopRequested,
+    Submitted, Verdict as Final, TimerFired,
 )
 from flintfield.memory.reducer import reduce
 from flintfield.memory.state import State
@@ -241,7 +241,7 @@
         self._state = state
 
     def before(self, state: State, message: Message) -> Message:
-        if not isinstance(message, RouteNews):
+        if not isinstance(message, RouteUpdate):
             return message
         return replace(message, routes=tuple(
             replace(r, entry=replace(r.entry, state=Lifecycle.READY)) if r.entry.state is self._state else r
@@ -252,7 +252,7 @@
     """Nodes that have just started are taken for old ones."""
 
     def before(self, state: State, message: Message) -> Message:
-        if not isinstance(message, RouteNews):
+        if not isinstance(message, RouteUpdate):
             return message
         return replace(message, routes=tuple(replace(r, entry=replace(r.entry, started_ms=0.0))
                                              for r in message.routes))
@@ -289,7 +289,7 @@
 
     def __call__(self, state: State, now: float, message: Message) -> list[Effect]:
         effects = reduce(state, now, message)
-        if isinstance(message, Woke):
+        if isinstance(message, TimerFired):
             for rid, transaction in list(state.transactions.items()):
                 for number, branch in enumerate(transaction.branches):
                     if not branch.ended and now - branch.opened > IMPATIENT_MS:
@@ -325,9 +325,9 @@
     """At SIGTERM all jobs are let go, so that the program ends soon."""
 
     def before(self, state: State, message: Message) -> Message:
-        if isinstance(message, StopAsked):
+        if isinstance(message, StopRequested):
             state.transactions.clear()
-            state.names.clear()
+            state.open_job_ids.clear()
         return message
 
 
--- a/flintfield/lab/virtual/listing.py
+++ b/flintfield/lab/virtual/listing.py
@@ -12,7 +12,7 @@
 from flintfield.lab.virtual.loop import Loop
 from flintfield.lab.virtual.wires import Wires
 from flintfield.lab.world import Discovery, Line, Machine, Network, Reply, Word
-from flintfield.memory.messages import Address, CallDiscovery, Message, Route, RouteCallFailed, RouteNews
+from flintfield.memory.messages import Address, CallDiscovery, Message, Route, RouteCallFailed, RouteUpdate
 from flintfield.wire.http1.discovery import Reader, wait_ms
 
 EPOCH_MS = 1e9
@@ -88,12 +88,12 @@
 
     # ------------------------------------------------------------------ schedulers
 
-    def known_to(self, scheduler: Watcher) -> RouteNews:
+    def known_to(self, scheduler: Watcher) -> RouteUpdate:
         """The list that a scheduler has from before its start."""
         version, lines = self._discovery.scheduler_started(self._loop.now, scheduler.name)
         self.reach([scheduler])
         self.rearm()
-        return RouteNews(ListMode.CACHED, version, tuple(self._route(line) for line in lines))
+        return RouteUpdate(ListMode.CACHED, version, tuple(self._route(line) for line in lines))
 
     def reach(self, schedulers: Sequence[Watcher]) -> None:
         """Take in whether answers reach these schedulers now."""
@@ -171,7 +171,7 @@
             message = RouteCallFailed("answered 503", call, busy=True)
         else:
             mode = ListMode.FULL if reply.whole else ListMode.DELTA
-            message = RouteNews(mode, reply.version, tuple(self._route(line) for line in reply.lines), call)
+            message = RouteUpdate(mode, reply.version, tuple(self._route(line) for line in reply.lines), call)
         self._wires.carry(self._zone, scheduler.zone, lambda: self._over(reply.call, message))
 
     def _route(self, line: Line) -> Route:
--- a/flintfield/lab/virtual/probes.py
+++ b/flintfield/lab/virtual/probes.py
@@ -10,7 +10,7 @@
 from flintfield.lab.virtual.idle import IdleConnections
 from flintfield.lab.virtual.interface import Process
 from flintfield.lab.world import Reading
-from flintfield.memory.messages import End, Ending, ProbeEnded, ProbeHop, Reach
+from flintfield.memory.messages import End, Ending, ProbeEnded, ProbeWorker, Reach
 from flintfield.wire.http1 import client, hop
 
 PROBE_MS, PROBE_KEPT_MS = hop.PROBE_S * 1_000, hop.PROBE_KEPT_S * 1_000
@@ -20,7 +20,7 @@
 class _Probe:
     """A probe that is out."""
 
-    effect: ProbeHop
+    effect: ProbeWorker
     began: float
     link: Link | None = None
     reused: bool = False  # it went out on a kept connection
@@ -36,7 +36,7 @@
         retire_ms = process.run.scenario.fleet.conn_idle_ms * client.RETIRE_PART
         self.kept = IdleConnections(self._loop, self._wires, retire_ms)
 
-    def send(self, effect: ProbeHop) -> None:
+    def send(self, effect: ProbeWorker) -> None:
         """Ask a node for its load."""
         probe = _Probe(effect, self._loop.now)
         self._loop.at(self._loop.now + PROBE_MS, self._ended, probe, End.BROKEN, Reach.SENT, None)
--- a/flintfield/lab/virtual/scheduler.py
+++ b/flintfield/lab/virtual/scheduler.py
@@ -21,8 +21,8 @@
 from flintfield.lab.world import Try
 from flintfield.memory.messages import (
     Address, Answer, CallDiscovery, CallerLeft, Defect, DiscoveryMoved, DropBranch, Effect, LeaveDiscovery,
-    Message, OpenBranch, ProbeHop, StopAsked, Submission, Submitted, Untracked, Verdict, WatchFailed, Woke,
-    WriteBranch,
+    Message, OpenBranch, ProbeWorker, StopRequested, Submission, Submitted, Untracked, Verdict, WatchFailed,
+    TimerFired, WriteBranch,
 )
 from flintfield.memory.state import State
 
@@ -57,7 +57,7 @@
         self._next_rid = 0
         self._perform: dict[type, Callable[[Any], None]] = {
             OpenBranch: self._open, WriteBranch: self._attempts.write, DropBranch: self._attempts.drop,
-            Answer: self._answer, ProbeHop: self._probes.send, CallDiscovery: self._watch.call,
+            Answer: self._answer, ProbeWorker: self._probes.send, CallDiscovery: self._watch.call,
             LeaveDiscovery: self._leave,
             Defect: self._defect, Untracked: self._nothing, WatchFailed: self._nothing,
         }
@@ -82,7 +82,7 @@
         if not self.alive:
             return
         due, now = self.state.timers.next_at(), self.clock()
-        if due is not None and isinstance(message, Woke):
+        if due is not None and isinstance(message, TimerFired):
             now = max(now, due)  # guards against a wake that rounding puts just before its timer
         began = perf_counter()
         effects = self.run.reducer(self.state, now, message)
@@ -102,7 +102,7 @@
     def _wake(self, due: float) -> None:
         if due == self._armed and self.alive:
             self._armed = math.inf
-            self.tell(Woke())
+            self.tell(TimerFired())
 
     def _defect(self, effect: Defect) -> None:
         self.run.defects.append((self.loop.now, self.name, effect.where, effect.error))
@@ -165,7 +165,7 @@
         """SIGTERM: settle all that was taken, and end."""
         classes = self.state.dispatcher.settings.classes
         grace_ms = kill_after_ms(c.deadline_ms for c in classes) - STOP_MARGIN_MS
-        self.tell(StopAsked(self.clock() + grace_ms))
+        self.tell(StopRequested(self.clock() + grace_ms))
         self.loop.at(self.loop.now + STOP_ACCEPT_S * 1_000, self._stop_when_settled)
 
     def _stop_when_settled(self) -> None:
--- a/flintfield/lifecycle/program.py
+++ b/flintfield/lifecycle/program.py
@@ -23,7 +23,8 @@
 from flintfield.lifecycle.operators import Chosen
 from flintfield.memory.messages import (
     Answer, CallDiscovery, Defect, DiscoveryMoved, DropBranch, Effect, HoldBranch, LeaveDiscovery, Message,
-    OpenBranch, ProbeHop, SendAway, ShutHops, StopAsked, WatchFailed, Woke, WriteBranch,
+    OpenBranch, ProbeWorker, CloseIdleClients, CloseIdleConnections, StopRequested, WatchFailed, TimerFired,
+    WriteBranch,
 )
 from flintfield.memory.reducer import reduce
 from flintfield.memory.turn import FINAL_CLOSE_MS
@@ -97,11 +98,11 @@
             WriteBranch: self._hops.write,
             DropBranch: self._hops.drop,
             Answer: self._callers.answer,
-            ProbeHop: self._start(self._hops.probe),
+            ProbeWorker: self._start(self._hops.probe),
             CallDiscovery: self._call_discovery,
             LeaveDiscovery: self._discovery.leave,
-            ShutHops: self._hops.shut,
-            SendAway: self._start(self._close_idle_while_drained),
+            CloseIdleConnections: self._hops.shut,
+            CloseIdleClients: self._start(self._close_idle_while_drained),
             Defect: lambda e: self._log.error("defect", where=e.where, error=e.error),
             WatchFailed: lambda e: self._log.warning("watch failed", word=e.word),
         }
@@ -116,7 +117,7 @@
     def _ready(self) -> bool:
         """Whether this scheduler is ready; a stopping process is ready if the newest process is."""
         state = self.state
-        if not state.told and self._clock() < self._first_answer_deadline:
+        if not state.discovery_answered and self._clock() < self._first_answer_deadline:
             # Jobs would wait here: none is sent by the list from before the start (discovery_schedule.py).
             return False
         return not state.drained and (not state.stopping or state.newer_ready)
@@ -174,7 +175,7 @@
             self._arm(due)
 
     def _arm(self, due: float) -> None:
-        """Schedule a `Woke` message at `due`."""
+        """Schedule a `TimerFired` message at `due`."""
         if self._alarm:
             self._alarm.cancel()
         self._alarm_at = due
@@ -183,7 +184,7 @@
 
     def _wake(self) -> None:
         self._alarm, self._alarm_at = None, float("inf")
-        self.tell(Woke())
+        self.tell(TimerFired())
 
     def _reduce(self, message: Message) -> list[Effect]:
         try:
@@ -273,7 +274,7 @@
         """
         self._log.info("stopping", transactions=len(self.state.transactions), legs=self._callers.open_legs)
         grace_ms = kill_after_ms(c.deadline_ms for c in self._config.settings.classes) - STOP_MARGIN_MS
-        self.tell(StopAsked(self._clock() + grace_ms))
+        self.tell(StopRequested(self._clock() + grace_ms))
         if self.state.shared:
             await self._drain_shared()
             return
@@ -287,7 +288,7 @@
             self._callers.hurry(STOP_LINGER_S)
             await anyio.sleep(STOP_CHECK_S)
 
-    async def _close_idle_while_drained(self, _: SendAway) -> None:
+    async def _close_idle_while_drained(self, _: CloseIdleClients) -> None:
         """Close callers' idle connections as long as the scheduler is drained.
 
         Starts after a delay: until the front notices the drain, it would send those callers here again.
--- a/flintfield/memory/answering.py
+++ b/flintfield/memory/answering.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from flintfield.memory.ledger import PendingAnswer
-from flintfield.memory.messages import Answer, FrontAnswer, JobClosed, Keep, Lasting, Verdict
+from flintfield.memory.job_records import PendingAnswer
+from flintfield.memory.messages import Answer, FrontAnswer, JobClosed, WriteRecords, StoredJob, Verdict
 from flintfield.memory.state import DeadlineTimer, RecordTimer, Transaction
 from flintfield.memory.turn import TurnBase
 
@@ -11,19 +11,19 @@
 class Answering(TurnBase):
     """Sends each transaction's answer exactly once."""
 
-    def _record(self, name: str) -> Lasting | None:
+    def _record(self, name: str) -> StoredJob | None:
         """The current record of a job; None if the job table lacks it or no records are written."""
         state, ledger = self.state, self.state.ledger
         job = state.jobs.find(self.now, name) if state.jobs else None
         if job is None or ledger is None:
             return None
-        transaction = state.transactions.get(state.names.get(name, 0))
+        transaction = state.transactions.get(state.open_job_ids.get(name, 0))
         left = transaction.deadline - self.now if transaction and job.outcome is None else 0.0
         return ledger.record(job, transaction.submission.class_name if transaction else None, left)
 
     def _owns_id(self, transaction: Transaction) -> bool:
         """Whether its job id refers to it; false for a second request with the id of an open job."""
-        return self.state.names.get(transaction.submission.name) == transaction.rid
+        return self.state.open_job_ids.get(transaction.submission.name) == transaction.rid
 
     def _answer(self, rid: int, verdict: Verdict, body: bytes = b"", retry_after_ms: float = 0.0,
                 limited: bool = False) -> None:
@@ -60,7 +60,7 @@
             if self.state.admission:
                 self.state.admission.settled(transaction.rid)
             if self._owns_id(transaction):
-                del self.state.names[transaction.submission.name]
+                del self.state.open_job_ids[transaction.submission.name]
                 if self.state.linked:
                     self.effects.append(JobClosed(transaction.submission.name))
 
@@ -81,7 +81,7 @@
         self._wait_for_records(keeps, min(ledger.wait_ms, transaction.deadline - self.now))
         return bool(keeps)
 
-    def _wait_for_records(self, keeps: list[Keep], wait_ms: float) -> None:
+    def _wait_for_records(self, keeps: list[WriteRecords], wait_ms: float) -> None:
         self.effects += keeps
         for keep in keeps:
             self.state.timers.set(self.now + wait_ms, RecordTimer(keep.ticket))
--- a/flintfield/memory/effects.py
+++ b/flintfield/memory/effects.py
@@ -5,7 +5,7 @@
 from flintfield.decision.interface import WorkerId
 from flintfield.decision.values import value
 from flintfield.memory.terms import (
-    Address, Lasting, Submission, Verdict,
+    Address, StoredJob, Submission, Verdict,
 )
 
 
@@ -58,7 +58,7 @@
 
 
 @value
-class ProbeHop:
+class ProbeWorker:
     """Ask a next hop for its load."""
 
     worker: WorkerId
@@ -100,13 +100,13 @@
 
 
 @value
-class SendAway:
+class CloseIdleClients:
     """Close callers' connections as they become idle, as long as the scheduler is drained."""
 
 
 @value
-class ShutHops:
-    """Keep no idle connections to these addresses; replaces the addresses of the previous `ShutHops`."""
+class CloseIdleConnections:
+    """Keep no idle connections to these addresses; replaces those of the previous `CloseIdleConnections`."""
 
     addresses: frozenset[Address]
 
@@ -134,23 +134,25 @@
 
 
 @value
-class Keep:
-    """Atomically write these records and delete those named in `gone`; then report `Kept` or `KeepFailed`.
+class WriteRecords:
+    """Atomically write these records and delete those named in `gone`.
 
-    A step waits for an `urgent` write: it must be durable when `Kept` is reported. Other writes may be
-    batched in order for a while, and are written with the next urgent one at the latest. A `Keep` with
-    nothing to write tests whether anything can be written.
+    Then report `RecordsWritten` or `RecordsFailed`.
+
+    A step waits for an `urgent` write: it must be durable when `RecordsWritten` is reported. Other writes may
+    be batched in order for a while, and are written with the next urgent one at the latest. A `WriteRecords`
+    with nothing to write tests whether anything can be written.
     """
 
     ticket: int
-    records: tuple[Lasting, ...]
+    records: tuple[StoredJob, ...]
     gone: tuple[str, ...]
     urgent: bool
 
 
 @value
-class MayWrite:
-    """Ask the front that submitted a job whether its first byte may be written; `FrontAllows` answers."""
+class AskWritePermission:
+    """Ask the front that submitted a job whether its first byte may be written; `WritePermission` answers."""
 
     front: str
     rid: int
@@ -175,6 +177,6 @@
     __slots__ = ()
 
 
-Effect = (OpenBranch | WriteBranch | DropBranch | Answer | ProbeHop | CallDiscovery | LeaveDiscovery | Defect
-          | WatchFailed | Untracked | HoldBranch | Keep | MayWrite | FrontAnswer | ShutHops | SendAway
-          | JobOpened | JobClosed | UnitEffect)
+Effect = (OpenBranch | WriteBranch | DropBranch | Answer | ProbeWorker | CallDiscovery | LeaveDiscovery
+          | Defect | WatchFailed | Untracked | HoldBranch | WriteRecords | AskWritePermission | FrontAnswer
+          | CloseIdleConnections | CloseIdleClients | JobOpened | JobClosed | UnitEffect)
--- a/flintfield/memory/succession.py
+++ b/flintfield/memory/handover_messages.py
@@ -28,7 +28,7 @@
 
 
 @value
-class IdsElsewhere(UnitMessage):
+class RemoteJobIds(UnitMessage):
     """Job ids that other processes opened and closed; `older`: those processes started before this one."""
 
     opened: tuple[str, ...]
@@ -37,7 +37,7 @@
 
 
 @value
-class Stands(UnitMessage):
+class LinkStatus(UnitMessage):
     """Whether other processes are linked, whether one is newer, and whether the newest is ready."""
 
     linked: bool
@@ -74,20 +74,20 @@
         else:
             turn.state.counters["handover.inherited"] += 1
 
-    def elsewhere(self, turn: Turn, message: IdsElsewhere) -> None:
+    def elsewhere(self, turn: Turn, message: RemoteJobIds) -> None:
         """Update the job ids that are open in other processes."""
         state = turn.state
-        ids: Counter[str] = state.elsewhere
+        ids: Counter[str] = state.remote_job_ids
         ids.update(message.opened)
         ids.subtract(message.closed)
         for name in message.closed:
             if ids[name] <= 0:
                 del ids[name]
         for name in message.opened if message.older else ():
-            if (rid := state.names.get(name)) is not None:
+            if (rid := state.open_job_ids.get(name)) is not None:
                 turn.give_way(rid)
 
-    def stands(self, turn: Turn, message: Stands) -> None:
+    def stands(self, turn: Turn, message: LinkStatus) -> None:
         """Update which other processes are linked."""
         state = turn.state
         state.linked, state.newer_ready = message.linked, message.newer_ready
--- a/flintfield/memory/ledger.py
+++ b/flintfield/memory/job_records.py
@@ -2,8 +2,9 @@
 
 Rules:
 
-1. No I/O. A write is an effect (`Keep`) with a ticket; its completion is a message (`Kept`, `KeepFailed`)
-   with the same ticket. All tickets complete, in the order in which they were issued, many at once.
+1. No I/O. A write is an effect (`WriteRecords`) with a ticket; its completion is a message (`RecordsWritten`,
+   `RecordsFailed`) with the same ticket. All tickets complete, in the order in which they were issued,
+   many at once.
 2. A *guarded* job belongs to a class that must not be sent again. Two of its steps wait: the first byte of a
    branch waits for the record of the next hop that it is sent to, and the answer `served` waits for the
    record of the job's end. Nothing else waits for a disk.
@@ -32,7 +33,7 @@
 from itertools import islice
 
 from flintfield.memory.jobs import JobRecord
-from flintfield.memory.messages import Keep, Lasting, Verdict
+from flintfield.memory.messages import WriteRecords, StoredJob, Verdict
 
 MAX_PENDING_TICKETS = 4_096  # pending tickets; with this many the disk counts as stalled
 CATCH_UP_BATCH = 256  # records per write when catching up after the ledger was down
@@ -88,8 +89,8 @@
             return False
         return kind in self.guarded or known.kind in self.guarded
 
-    def keep(self, name: str, record: Lasting | None, *, pending: PendingStep | None = None,
-             next_hop: str | None = None) -> list[Keep]:
+    def keep(self, name: str, record: StoredJob | None, *, pending: PendingStep | None = None,
+             next_hop: str | None = None) -> list[WriteRecords]:
         """Write a job's current record, or one that says it is sent to a next hop; nothing if the ledger is
         down. If `record` is None the record on disk is deleted."""
         if record and next_hop is not None:
@@ -97,26 +98,26 @@
         records, gone = ((record,), ()) if record else ((), (name,))
         return self._write((name,), records, gone, pending)
 
-    def _write(self, names: tuple[str, ...], records: tuple[Lasting, ...], gone: tuple[str, ...],
-               pending: PendingStep | None) -> list[Keep]:
+    def _write(self, names: tuple[str, ...], records: tuple[StoredJob, ...], gone: tuple[str, ...],
+               pending: PendingStep | None) -> list[WriteRecords]:
         self.up = self.up and len(self._pending) < MAX_PENDING_TICKETS
         if not self.up:
             self._mark_missed(names)
             return []
         self._last_ticket += 1
         self._pending[self._last_ticket] = _Ticket(names, pending)
-        return [Keep(self._last_ticket, records, gone, pending is not None)]
+        return [WriteRecords(self._last_ticket, records, gone, pending is not None)]
 
     def _mark_missed(self, names: tuple[str, ...]) -> None:
         self._missed.update(dict.fromkeys(names))
         while len(self._missed) > self._most_missed:  # the oldest is the likeliest to have left the table
             del self._missed[next(iter(self._missed))]
 
-    def record(self, job: JobRecord, class_name: str | None, left_ms: float) -> Lasting:
+    def record(self, job: JobRecord, class_name: str | None, left_ms: float) -> StoredJob:
         """The record of a job, given the class of its open transaction, if there is one, and the time that
         transaction has left."""
         sure = self.promise and class_name in self.guarded
-        return Lasting(job.name, job.kind, job.state, job.instance, job.outcome,
+        return StoredJob(job.name, job.kind, job.state, job.instance, job.outcome,
                        job.ran or job.state == "running", sure, max(0.0, left_ms) + self._keep_ms)
 
     # ---------------------------------------------------------- completions
@@ -144,15 +145,15 @@
         pending, found.pending = found.pending, None
         return pending
 
-    def probe(self) -> list[Keep]:
+    def probe(self) -> list[WriteRecords]:
         """Test whether writes succeed again, unless a pending ticket will show it."""
         if self.up or self._pending:
             return []
         self._last_ticket += 1
         self._pending[self._last_ticket] = _Ticket((), None)
-        return [Keep(self._last_ticket, (), (), True)]
+        return [WriteRecords(self._last_ticket, (), (), True)]
 
-    def catch_up(self, record_of: Callable[[str], Lasting | None]) -> list[Keep]:
+    def catch_up(self, record_of: Callable[[str], StoredJob | None]) -> list[WriteRecords]:
         """Write a batch of missed records; each completed ticket triggers the next batch."""
         names = tuple(islice(self._missed, CATCH_UP_BATCH))
         if not names:
@@ -163,6 +164,6 @@
         there = {r.name for r in records}
         return self._write(names, records, tuple(n for n in names if n not in there), None)
 
-    def forget(self, name: str) -> list[Keep]:
+    def forget(self, name: str) -> list[WriteRecords]:
         """Delete the record of a job that left the table."""
         return self._write((name,), (), (name,), None)
--- a/flintfield/memory/messages.py
+++ b/flintfield/memory/messages.py
@@ -9,25 +9,26 @@
 from flintfield.decision.values import value
 from flintfield.memory.effects import (
     Answer, CallDiscovery, Defect, DropBranch, Effect, FrontAnswer, HoldBranch, JobClosed, JobOpened,
-    Keep, LeaveDiscovery, MayWrite, OpenBranch, ProbeHop, SendAway, ShutHops, UnitEffect, Untracked,
-    WatchFailed, WriteBranch,
+    WriteRecords, LeaveDiscovery, AskWritePermission, OpenBranch, ProbeWorker, CloseIdleClients,
+    CloseIdleConnections, UnitEffect, Untracked, WatchFailed, WriteBranch,
 )
 from flintfield.memory.terms import (
-    Address, End, Ending, Lasting, Reach, Route, Submission, Verdict, worker_of,
+    Address, End, Ending, StoredJob, Reach, Route, Submission, Verdict, worker_of,
 )
 
 __all__ = [
-    "Address", "Answer", "BranchEnded", "BranchNoted", "BranchUp", "CallDiscovery", "CallerLeft",
-    "Defect", "DiscoveryMoved", "DropBranch", "Effect", "End", "Ending", "FrontAllows", "FrontAnswer",
-    "HoldBranch", "JobClosed", "JobOpened", "Keep", "KeepFailed", "Kept", "Lasting", "LeaveDiscovery",
-    "MayWrite", "Message", "OpenBranch", "ProbeEnded", "ProbeHop", "Reach", "Route", "RouteCallFailed",
-    "RouteNews", "SendAway", "ShutHops", "StopAsked", "Submission", "Submitted", "TryKeep", "UnitEffect",
-    "UnitMessage", "Untracked", "Verdict", "WatchFailed", "Woke", "WriteBranch", "worker_of",
+    "Address", "Answer", "AskWritePermission", "BranchEnded", "BranchNoted", "BranchUp", "CallDiscovery",
+    "CallerLeft", "CloseIdleClients", "CloseIdleConnections", "Defect", "DiscoveryMoved", "DropBranch",
+    "Effect", "End", "Ending", "FrontAnswer", "HoldBranch", "JobClosed", "JobOpened", "LeaveDiscovery",
+    "Message", "OpenBranch", "ProbeEnded", "ProbeWorker", "Reach", "RecordsFailed", "RecordsWritten",
+    "RetryRecords", "Route", "RouteCallFailed", "RouteUpdate", "StopRequested", "StoredJob", "Submission",
+    "Submitted", "TimerFired", "UnitEffect", "UnitMessage", "Untracked", "Verdict", "WatchFailed",
+    "WriteBranch", "WritePermission", "WriteRecords", "worker_of",
 ]
 
 
 @value
-class RouteNews:
+class RouteUpdate:
     """An answer of discovery: changes since our version, or the whole list; `call` is the call it answers."""
 
     mode: ListMode
@@ -108,39 +109,39 @@
 
 
 @value
-class Woke:
+class TimerFired:
     """The first timer is due."""
 
 
 @value
-class StopAsked:
+class StopRequested:
     """The program was asked to stop; requests received from now on are answered by `settle_by`."""
 
     settle_by: float
 
 
 @value
-class Kept:
+class RecordsWritten:
     """The writes of these tickets are as durable as requested."""
 
     tickets: tuple[int, ...]
 
 
 @value
-class KeepFailed:
+class RecordsFailed:
     """The writes of these tickets failed; which of them reached the disk is unknown."""
 
     tickets: tuple[int, ...]
 
 
 @value
-class TryKeep:
+class RetryRecords:
     """Check whether records can be written again, if writing had failed."""
 
 
 @value
-class FrontAllows:
-    """A front's answer to `MayWrite`: whether the branch's first byte may be written."""
+class WritePermission:
+    """A front's answer to `AskWritePermission`: whether the branch's first byte may be written."""
 
     rid: int
     branch: int
@@ -153,6 +154,6 @@
     __slots__ = ()
 
 
-Message = (RouteNews | RouteCallFailed | DiscoveryMoved | Submitted | CallerLeft | BranchUp | BranchNoted
-           | BranchEnded | ProbeEnded | Woke | StopAsked | Kept | KeepFailed | TryKeep | FrontAllows
-           | UnitMessage)
+Message = (RouteUpdate | RouteCallFailed | DiscoveryMoved | Submitted | CallerLeft | BranchUp | BranchNoted
+           | BranchEnded | ProbeEnded | TimerFired | StopRequested | RecordsWritten | RecordsFailed
+           | RetryRecords | WritePermission | UnitMessage)
--- a/flintfield/memory/orders.py
+++ b/flintfield/memory/orders.py
@@ -24,8 +24,8 @@
 from typing import TYPE_CHECKING, Any
 
 from flintfield.decision.values import value
-from flintfield.memory.planned import stand
-from flintfield.memory.messages import SendAway, UnitEffect, UnitMessage, worker_of
+from flintfield.memory.planned_exclusions import stand
+from flintfield.memory.messages import CloseIdleClients, UnitEffect, UnitMessage, worker_of
 
 if TYPE_CHECKING:
     from flintfield.memory.reducer import Turn
@@ -179,7 +179,7 @@
             turn.state.drained = self.book[SCHEDULER].out
             turn.state.counters["orders.drains" if turn.state.drained else "orders.in_service"] += 1
             if turn.state.drained:
-                turn.effects.append(SendAway())
+                turn.effects.append(CloseIdleClients())
         if names := [s for s in changed if s != SCHEDULER]:
             self._apply_node_orders(turn, names)
 
--- a/flintfield/memory/planned.py
+++ b/flintfield/memory/planned_exclusions.py
@@ -14,7 +14,7 @@
 
 
 @value
-class PlanBars(UnitMessage):
+class PlannedExclusions(UnitMessage):
     """The complete set of worker nodes, by name, that the plan excludes from now on."""
 
     nodes: frozenset[str]
@@ -26,7 +26,7 @@
     turn.ask(turn.state.orders.told(turn.state.newer))
 
 
-def plan_bars(turn: Turn, message: PlanBars) -> None:
+def plan_bars(turn: Turn, message: PlannedExclusions) -> None:
     """Replace the nodes that the plan excludes; readmitted nodes count as cold from now on."""
     orders = turn.state.orders
     before, now = orders.by_plan, frozenset(worker_of(name) for name in message.nodes)
--- a/flintfield/memory/keeping.py
+++ b/flintfield/memory/record_waits.py
@@ -5,16 +5,17 @@
 from collections.abc import Iterable
 
 from flintfield.decision.interface import Outcome
-from flintfield.memory.branching import Branching
-from flintfield.memory.ledger import PendingAnswer, PendingBranch, PendingStep
+from flintfield.memory.attempts import Branching
+from flintfield.memory.job_records import PendingAnswer, PendingBranch, PendingStep
 from flintfield.memory.messages import (
-    BranchUp, FrontAllows, HoldBranch, KeepFailed, Kept, MayWrite, Route, TryKeep,
+    BranchUp, WritePermission, HoldBranch, RecordsFailed, RecordsWritten, AskWritePermission, Route,
+    RetryRecords,
 )
 from flintfield.memory.state import RecordTimer, Transaction
 
 
 class Keeping(Branching):
-    """Handles completed tickets of the ledger; memory/ledger.py has the rules."""
+    """Handles completed tickets of the ledger; memory/job_records.py has the rules."""
 
     def branch_up(self, message: BranchUp) -> None:
         if (found := self._open_branch(message.rid, message.branch)) is None:
@@ -26,7 +27,8 @@
         if route and transaction.submission.front:
             branch.held = True
             self.effects += [HoldBranch(transaction.rid, message.branch),
-                             MayWrite(transaction.submission.front, transaction.rid, message.branch)]
+                             AskWritePermission(
+                                 transaction.submission.front, transaction.rid, message.branch)]
         else:
             self._write_request_recorded(transaction, message.branch, route)
 
@@ -38,7 +40,7 @@
         else:
             self._write_request(transaction, number)
 
-    def front_allows(self, message: FrontAllows) -> None:
+    def front_allows(self, message: WritePermission) -> None:
         """The front that submitted the job has recorded that it is sent, or could not."""
         if (found := self._open_branch(message.rid, message.branch)) is None or found[1].written:
             return
@@ -62,7 +64,7 @@
             self.effects.append(HoldBranch(transaction.rid, number))
         self._wait_for_records(keeps, ledger.wait_ms)
 
-    def kept(self, message: Kept) -> None:
+    def kept(self, message: RecordsWritten) -> None:
         ledger = self.state.ledger
         self._cancel_record_timers(message.tickets)
         for pending in ledger.kept(message.tickets) if ledger else ():
@@ -73,7 +75,7 @@
         if ledger:
             self.effects += ledger.catch_up(self._record)
 
-    def keep_failed(self, message: KeepFailed) -> None:
+    def keep_failed(self, message: RecordsFailed) -> None:
         if ledger := self.state.ledger:
             self._cancel_record_timers(message.tickets)
             self.state.counters["store.failed"] += 1
@@ -109,6 +111,6 @@
             self._refuse_unrecorded(pending.rid)
             self._drop_branch(transaction, pending.branch, Outcome.MOOT)
 
-    def try_keep(self, _: TryKeep) -> None:
+    def try_keep(self, _: RetryRecords) -> None:
         if self.state.ledger:
             self.effects += self.state.ledger.probe()
--- a/flintfield/memory/reducer.py
+++ b/flintfield/memory/reducer.py
@@ -10,12 +10,12 @@
     Cancel, Effect as ClassEffect, ShutdownAnnounced, Fail, ClientLeft, Outcome, Probe, Probed, Refuse, Send,
     SetTimer, Timer, Watch,
 )
-from flintfield.memory.branching import outcome_of
-from flintfield.memory.listing import Listing
+from flintfield.memory.attempts import outcome_of
+from flintfield.memory.worker_list import Listing
 from flintfield.memory.messages import (
-    BranchEnded, BranchNoted, BranchUp, CallerLeft, DiscoveryMoved, Effect, FrontAllows, KeepFailed, Kept,
-    Message, OpenBranch, ProbeEnded, ProbeHop, RouteCallFailed, RouteNews, StopAsked, Submitted, TryKeep,
-    Verdict, Woke,
+    BranchEnded, BranchNoted, BranchUp, CallerLeft, DiscoveryMoved, Effect, WritePermission, RecordsFailed,
+    RecordsWritten, Message, OpenBranch, ProbeEnded, ProbeWorker, RouteCallFailed, RouteUpdate,
+    StopRequested, Submitted, RetryRecords, Verdict, TimerFired,
 )
 from flintfield.memory.state import Branch, BranchTimer, DeadlineTimer, DecisionTimer, RecordTimer, State
 
@@ -71,7 +71,7 @@
             self._events.append(Probed(action.worker, Outcome.CONNECT_FAILED, 0.0))
             return
         self.state.counters["probes.sent"] += 1
-        self.effects.append(ProbeHop(action.worker, route.address))
+        self.effects.append(ProbeWorker(action.worker, route.address))
 
     def probe_ended(self, message: ProbeEnded) -> None:
         outcome = outcome_of(message.ending)
@@ -79,7 +79,7 @@
         self._record_error(message.worker, outcome)
         self._events.append(Probed(message.worker, outcome, message.took_ms, message.ending.report))
 
-    def woke(self, _: Woke) -> None:
+    def woke(self, _: TimerFired) -> None:
         while (due := self.state.timers.pop_due(self.now)) is not None:
             if isinstance(due, DecisionTimer):
                 self._events.append(Timer(due.token))
@@ -111,7 +111,7 @@
             self._answer(rid, Verdict.FAILED)
             self._events.append(ClientLeft(rid))
 
-    def stop_asked(self, message: StopAsked) -> None:
+    def stop_asked(self, message: StopRequested) -> None:
         """Limit the deadlines of transactions without an open branch, to answer them before the kill."""
         state = self.state
         state.settle_by = message.settle_by
@@ -123,11 +123,12 @@
 
 
 Turn.MESSAGES = {
-    RouteNews: Turn.route_news, RouteCallFailed: Turn.route_call_failed, Submitted: Turn.submitted,
+    RouteUpdate: Turn.route_news, RouteCallFailed: Turn.route_call_failed, Submitted: Turn.submitted,
     CallerLeft: Turn.caller_left, BranchUp: Turn.branch_up, BranchNoted: Turn.branch_noted,
-    BranchEnded: Turn.branch_ended, ProbeEnded: Turn.probe_ended, Woke: Turn.woke,
-    StopAsked: Turn.stop_asked, DiscoveryMoved: Turn.discovery_moved,
-    FrontAllows: Turn.front_allows, Kept: Turn.kept, KeepFailed: Turn.keep_failed, TryKeep: Turn.try_keep,
+    BranchEnded: Turn.branch_ended, ProbeEnded: Turn.probe_ended, TimerFired: Turn.woke,
+    StopRequested: Turn.stop_asked, DiscoveryMoved: Turn.discovery_moved,
+    WritePermission: Turn.front_allows, RecordsWritten: Turn.kept, RecordsFailed: Turn.keep_failed,
+    RetryRecords: Turn.try_keep,
 }
 Turn.ACTIONS = {
     Send: Turn.send, Refuse: Turn.refuse, Fail: Turn.fail, Cancel: Turn.cancel, Probe: Turn.probe,
--- a/flintfield/memory/state.py
+++ b/flintfield/memory/state.py
@@ -11,9 +11,9 @@
 from flintfield.decision.time_queue import TimeQueue
 from flintfield.decision.interface import Action, Event, Limits, WorkerId
 from flintfield.decision.policy import Dispatcher
-from flintfield.memory.barred import Barred
+from flintfield.memory.exclusions import Barred
 from flintfield.memory.jobs import Jobs
-from flintfield.memory.ledger import Ledger
+from flintfield.memory.job_records import Ledger
 from flintfield.memory.messages import Address, Route, Submission
 
 
@@ -139,7 +139,7 @@
         self.admission: Admission | None = None  # None: no limits
         self.handlers: dict[type, Handler] = {}  # by type of the units' own messages
         self.transactions: dict[int, Transaction] = {}
-        self.names: dict[str, int] = {}  # rid of each unsettled transaction by its job id
+        self.open_job_ids: dict[str, int] = {}  # rid of each unsettled transaction by its job id
         self.routes: dict[WorkerId, Route] = {}
         self.last_errors: dict[WorkerId, tuple[float, str]] = {}  # by next hop in the route set: time, error
         self.orders = Barred()
@@ -149,13 +149,13 @@
         self.shared = False  # the listening socket is shared with them
         self.linked = False  # at least one is informed of our jobs
         self.newer = self.newer_ready = False  # one was started after this one; it is ready to serve
-        self.elsewhere: Counter[str] = Counter()  # ids of jobs that are open in other processes
+        self.remote_job_ids: Counter[str] = Counter()  # ids of jobs that are open in other processes
         self.generation: int | None = None  # of the route set; None: request the whole list
         self.calls = 0  # made to discovery; answers to all but the last one are ignored
         self.watching = False  # a call to discovery is pending, or about to be made
         self.called_at = -math.inf  # when the last call was made
-        self.due: float | None = None  # when changes missed by a failed watch take effect
-        self.told = False  # discovery has answered this process at least once
+        self.changes_due_at: float | None = None  # when changes missed by a failed watch take effect
+        self.discovery_answered = False  # discovery has answered this process at least once
         self.timers = Timers()
         self.counters: Counter[str] = Counter()
         self.settle_by = math.inf  # deadline for all answers after a request to stop
--- a/flintfield/memory/taking.py
+++ b/flintfield/memory/submission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from flintfield.decision.interface import ClientLeft, Request
-from flintfield.memory.keeping import Keeping
+from flintfield.memory.record_waits import Keeping
 from flintfield.memory.messages import CallerLeft, JobOpened, Submitted, Untracked, Verdict
 from flintfield.memory.state import DeadlineTimer, Transaction
 
@@ -23,12 +23,12 @@
         transaction = Transaction(message.rid, given, self.now, deadline)
         state.transactions[message.rid] = transaction
         state.timers.set(deadline, DeadlineTimer(message.rid))  # first, so that it is answered whatever fails
-        if given.name in state.names:
+        if given.name in state.open_job_ids:
             # Prevents a second copy of a job: the first one with this id is still open.
             state.counters["requests.same_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
-        if given.name in state.elsewhere:
+        if given.name in state.remote_job_ids:
             # Prevents two copies in two processes: another process of this scheduler has the job open.
             state.counters["requests.open_elsewhere"] += 1
             self._answer(message.rid, Verdict.FAILED)
@@ -40,7 +40,7 @@
             state.counters["requests.interrupted_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
-        state.names[given.name] = message.rid
+        state.open_job_ids[given.name] = message.rid
         if state.linked:
             self.effects.append(JobOpened(given.name))
         tracked = self._track(transaction)
--- a/flintfield/memory/terms.py
+++ b/flintfield/memory/terms.py
@@ -78,12 +78,12 @@
     owner: str = ""  # the owner of the job according to the caller (`Req-Owner`)
     tenant: int = -1  # index of that owner in the settings; -1: not listed
     idempotency_key: bytes = b""  # passed on unchanged; next hops detect repeats by it
-    front: str = ""  # submitter if not the main listener; receives `MayWrite` and `FrontAnswer`
+    front: str = ""  # submitter if not the main listener; receives `AskWritePermission` and `FrontAnswer`
 
 
 @value
-class Lasting:
-    """A job's record on disk; `memory/ledger.py` describes what it guarantees."""
+class StoredJob:
+    """A job's record on disk; `memory/job_records.py` describes what it guarantees."""
 
     name: str
     kind: str
--- a/flintfield/memory/listing.py
+++ b/flintfield/memory/worker_list.py
@@ -6,9 +6,10 @@
 
 from flintfield.decision.interface import ListMode, ServerList, State as Lifecycle, Watch
 from flintfield.memory.messages import (
-    CallDiscovery, DiscoveryMoved, LeaveDiscovery, RouteCallFailed, RouteNews, ShutHops, WatchFailed,
+    CallDiscovery, DiscoveryMoved, LeaveDiscovery, RouteCallFailed, RouteUpdate, CloseIdleConnections,
+    WatchFailed,
 )
-from flintfield.memory.taking import Taking
+from flintfield.memory.submission import Taking
 
 SILENCE_MS = 6_000.0  # from a silent call to when changes that it missed take effect, at the earliest
 MOVED_MS = 4_000.0  # the same after a configuration change moved discovery (the operators' later days)
@@ -22,7 +23,7 @@
             self.state.watching = True
             self._call_discovery()
 
-    def route_news(self, message: RouteNews) -> None:
+    def route_news(self, message: RouteUpdate) -> None:
         state = self.state
         cached = message.mode is ListMode.CACHED
         if not cached and self._is_outdated(message.call):
@@ -46,7 +47,7 @@
             del state.last_errors[worker]
         state.generation = message.generation
         if not cached:
-            state.due, state.told = None, True
+            state.changes_due_at, state.discovery_answered = None, True
             state.counters["discovery.lines"] += len(message.routes)
             state.counters[f"discovery.answers.{message.mode.value if message.routes else 'empty'}"] += 1
             self._call_discovery()  # immediately: after a pause of 200 ms it would count as a new watch
@@ -55,7 +56,7 @@
     def close_barred_connections(self) -> None:
         """Close our idle connections to excluded next hops."""
         state = self.state
-        self.effects.append(ShutHops(frozenset(
+        self.effects.append(CloseIdleConnections(frozenset(
             r.address for worker, r in state.routes.items() if worker in state.barred)))
 
     def route_call_failed(self, message: RouteCallFailed) -> None:
@@ -65,7 +66,7 @@
         state.watching = False
         if message.silent:
             # Discovery fell silent after the call at the earliest, so its changes take effect no earlier.
-            state.due = min(state.due or math.inf, state.called_at + SILENCE_MS)
+            state.changes_due_at = min(state.changes_due_at or math.inf, state.called_at + SILENCE_MS)
             state.counters["discovery.silent"] += 1
         elif not message.busy:
             # A restarted discovery counts from zero and would report nothing newer than our generation, so
@@ -74,7 +75,7 @@
             state.generation = None
         self.effects.append(WatchFailed(message.word))
         state.counters["discovery.failed"] += 1
-        self._events.append(ServerList(ListMode.FAILED, due=state.due))
+        self._events.append(ServerList(ListMode.FAILED, due=state.changes_due_at))
 
     def discovery_moved(self, message: DiscoveryMoved) -> None:
         """Drop the old address and call the new one at once for the whole list."""
@@ -85,8 +86,9 @@
         self.effects.append(LeaveDiscovery(state.discovery))
         state.discovery, state.generation, state.watching = message.address, None, True
         # A due time that has passed is ignored: it must not precede the one of the new address.
-        pending = state.due if state.due is not None and state.due > self.now else math.inf
-        state.due = min(pending, self.now + MOVED_MS)
+        pending = (state.changes_due_at
+                   if state.changes_due_at is not None and state.changes_due_at > self.now else math.inf)
+        state.changes_due_at = min(pending, self.now + MOVED_MS)
         self._call_discovery()
 
     def _is_outdated(self, call: int) -> bool:
@@ -103,5 +105,5 @@
         state.counters["discovery.calls"] += 1
         # After a silent call the next one does not wait for changes, so that another silence is detected
         # sooner. A new process does not wait either, since it trusts its list only after the first answer.
-        waits = state.told and state.due is None
+        waits = state.discovery_answered and state.changes_due_at is None
         self.effects.append(CallDiscovery(state.calls, state.discovery, state.generation, waits))
--- a/flintfield/units/maintenance.py
+++ b/flintfield/units/maintenance.py
@@ -26,7 +26,7 @@
 from flintfield.maintenance.view import page_of
 from flintfield.maintenance.words import Bar, Word, read, write
 from flintfield.memory.messages import Message, UnitMessage, worker_of
-from flintfield.memory.planned import PlanBars, plan_bars
+from flintfield.memory.planned_exclusions import PlannedExclusions, plan_bars
 from flintfield.memory.reducer import Turn
 from flintfield.memory.state import Handler
 from flintfield.membership.interface import Member, Members
@@ -166,7 +166,8 @@
 
     def handlers(self) -> Mapping[type, Handler]:
         """Our messages."""
-        return {Heard: self._heard, Stepped: self._stepped, Ordered: self._ordered, PlanBars: plan_bars}
+        return {
+            Heard: self._heard, Stepped: self._stepped, Ordered: self._ordered, PlannedExclusions: plan_bars}
 
     def _heard(self, turn: Turn, message: Heard) -> None:
         """Each core takes what is for it, and leaves the rest."""
@@ -177,7 +178,7 @@
 
     def _stepped(self, turn: Turn, message: Stepped) -> None:
         now, barring, self._open = turn.now, self.barring, None
-        if turn.state.routes or turn.state.told:
+        if turn.state.routes or turn.state.discovery_answered:
             barring.lost = self._lost()
         barring.leaving = turn.state.stopping and not turn.state.transactions
         self._carry_out(turn, barring.wake(now))
@@ -196,7 +197,8 @@
         waits = self._told.alone == "wait" and not self.barring.grown
         if waits is not self._waiting:
             self._waiting = waits
-            plan_bars(turn, PlanBars(frozenset(self._nodes.values()) if waits else self.barring.barred))
+            plan_bars(
+                turn, PlannedExclusions(frozenset(self._nodes.values()) if waits else self.barring.barred))
 
     def _look_at_works(self, now: float, executor: Executor) -> None:
         """What may begin, and what has run by itself long enough."""
@@ -224,7 +226,7 @@
                     self._say(turn, to, word)
                 case BarredNow(nodes, _):
                     if not self._waiting:
-                        plan_bars(turn, PlanBars(nodes))
+                        plan_bars(turn, PlannedExclusions(nodes))
                 case Noted(event, values):
                     self._host.errors.line(event, **dict(values))
 
--- a/flintfield/units/queues.py
+++ b/flintfield/units/queues.py
@@ -21,7 +21,9 @@
 
 from flintfield.base.ini import FILE, TEXT, OperatorsError, Section, number, whole
 from flintfield.decision.interface import Effect as MayRepeat
-from flintfield.memory.messages import FrontAllows, FrontAnswer, MayWrite, Submission, Submitted, Verdict
+from flintfield.memory.messages import (
+    WritePermission, FrontAnswer, AskWritePermission, Submission, Submitted, Verdict,
+)
 from flintfield.queues import bound, core, operations as ops
 from flintfield.queues.intake import Intake, View
 from flintfield.queues.jobs import ask_of
@@ -151,7 +153,7 @@
 
     def effects(self) -> Mapping[type, Callable[[Any], None]]:
         """What the reducer asks of the front that handed a job in."""
-        return {MayWrite: self._may_write, FrontAnswer: self._answered}
+        return {AskWritePermission: self._may_write, FrontAnswer: self._answered}
 
     def reload(self) -> None:
         """Read the key file again."""
@@ -282,7 +284,7 @@
             rid, branch = self._rids.get(key), self._asked.pop(key, 0)
             if rid is not None:
                 self._let_out += effect.kept
-                self._host.tell(FrontAllows(rid, branch, effect.kept))
+                self._host.tell(WritePermission(rid, branch, effect.kept))
         else:
             self._settled(effect)
 
@@ -309,7 +311,7 @@
         tenants = {name: i for i, name in enumerate(config.tenant_names)}
         return replace(read_submission(request, names, tenants), front=FRONT)
 
-    def _may_write(self, effect: MayWrite) -> None:
+    def _may_write(self, effect: AskWritePermission) -> None:
         """A branch is up: what is noted before its first byte may leave."""
         job = self._jobs[effect.rid]
         self._asked[job.queue, job.seq] = effect.branch
--- a/flintfield/units/store.py
+++ b/flintfield/units/store.py
@@ -1,7 +1,7 @@
 """The embedded store as a unit, and its first users: the jobs' records, and what the decisions have learned.
 
-What a record says and which step waits for it is `memory/ledger.py`'s; here records are written, and at the
-start read back into the table of jobs. `docs/store-users.md` is the operators' page.
+What a record says and which step waits for it is `memory/job_records.py`'s; here records are written, and at
+the start read back into the table of jobs. `docs/store-users.md` is the operators' page.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 from flintfield.decision.interface import Effect as MayRepeat
 from flintfield.decision.learned import export_learned, restore_learned
 from flintfield.memory.jobs import JobRecord
-from flintfield.memory.ledger import Ledger
-from flintfield.memory.messages import Keep, KeepFailed, Kept, Lasting, TryKeep, UnitMessage
+from flintfield.memory.job_records import Ledger
+from flintfield.memory.messages import (
+    WriteRecords, RecordsFailed, RecordsWritten, StoredJob, RetryRecords, UnitMessage,
+)
 from flintfield.memory.reducer import Turn
 from flintfield.store import ALWAYS, Batch, Committed, Outcome, StoreError, within_ms
 from flintfield.units.interface import Feature, Given, Host, Unit
@@ -104,7 +106,7 @@
         self._urgent = within_ms(int(told.sync_ms)) if told.sync_ms else ALWAYS
         self._behind = within_ms(BEHIND_MS)
         self._told_down = False
-        self._gathered: list[Keep] = []
+        self._gathered: list[WriteRecords] = []
         self._some = anyio.Event()  # something is gathered
         self._hurried = False  # a step waits for some of it
         jobs = host.state.jobs
@@ -150,13 +152,13 @@
 
     def effects(self) -> Mapping[type, Callable[[Any], None]]:
         """The ledger's writing."""
-        return {Keep: self._keep}
+        return {WriteRecords: self._keep}
 
     def handlers(self) -> Mapping[type, Callable[[Turn, Any], None]]:
         """The module takes up what it had learned."""
         return {Recall: self._recall}
 
-    def _keep(self, effect: Keep) -> None:
+    def _keep(self, effect: WriteRecords) -> None:
         self._gathered.append(effect)
         if effect.urgent and not self._hurried:
             self._hurried = True  # once for all that this turn of the loop asks for
@@ -180,7 +182,8 @@
 
         def done(outcome: Outcome) -> None:
             self._note(outcome)
-            self._host.tell(Kept(tickets) if isinstance(outcome, Committed) else KeepFailed(tickets))
+            self._host.tell(
+                RecordsWritten(tickets) if isinstance(outcome, Committed) else RecordsFailed(tickets))
 
         try:
             self._storage.submit(batch, self._urgent if hurried else self._behind, done)
@@ -225,7 +228,7 @@
             await anyio.sleep(TRY_S)
             if self._storage.failed:
                 await self._open_anew()
-            self._host.tell(TryKeep())
+            self._host.tell(RetryRecords())
             due -= TRY_S
             if self._given.snapshot_s and due <= 0:
                 due = self._given.snapshot_s
@@ -271,7 +274,7 @@
         await self._storage.close()
 
 
-def _put(batch: Batch, record: Lasting, at: int) -> None:
+def _put(batch: Batch, record: StoredJob, at: int) -> None:
     row = Row(FORM, record.kind, record.state, record.instance, record.outcome, record.ran, record.sure, at)
     key = record.name.encode()
     if record.keep_ms >= 1:
--- a/flintfield/units/upgrade.py
+++ b/flintfield/units/upgrade.py
@@ -16,8 +16,8 @@
 from flintfield.memory.messages import JobClosed, JobOpened
 from flintfield.memory.orders import OrdersHeard, Word, plain_words, read_words
 from flintfield.memory.state import Handler
-from flintfield.memory.succession import (
-    IdsElsewhere, Inherited, Nothing, Stands, Succession, figures_of,
+from flintfield.memory.handover_messages import (
+    RemoteJobIds, Inherited, Nothing, LinkStatus, Succession, figures_of,
 )
 from flintfield.units.interface import Feature, Given, Host, Unit
 from flintfield.units.operations import OperationsUnit
@@ -50,8 +50,8 @@
 
     def handlers(self) -> Mapping[type, Handler]:
         """What other processes tell."""
-        return {Inherited: self._succession.inherited, IdsElsewhere: self._succession.elsewhere,
-                Stands: self._succession.stands}
+        return {Inherited: self._succession.inherited, RemoteJobIds: self._succession.elsewhere,
+                LinkStatus: self._succession.stands}
 
     def effects(self) -> Mapping[type, Callable[[Any], None]]:
         """What others are told of jobs."""
@@ -107,7 +107,7 @@
                 host.tell(Inherited(state["figures"]))
                 self._over.set()
             case OpenElsewhere(opened, closed, older):
-                host.tell(IdsElsewhere(opened, closed, older))
+                host.tell(RemoteJobIds(opened, closed, older))
             case Words(words):
                 self._hear(words)
             case Standing(count, newer, ready):
@@ -118,7 +118,7 @@
     def _state(self) -> dict[str, Any]:
         state = self._host.state
         return {"orders": plain_words(self._orders.book), "figures": figures_of(state, self._host.clock()),
-                "open": list(state.names)}
+                "open": list(state.open_job_ids)}
 
     def _hear(self, raw: Any) -> None:
         words: Mapping[str, Word] = read_words(raw)
@@ -126,7 +126,7 @@
 
     def _stand(self, count: int, newer: bool, ready: bool) -> None:
         before = self._host.state.newer
-        self._host.tell(Stands(count > 0, newer, ready))
+        self._host.tell(LinkStatus(count > 0, newer, ready))
         if before and not newer and self._serving and not self._host.state.stopping:
             self._publish()  # it has died: the next one is to find us again
         if not count:
--- a/flintfield/wire/http1/discovery.py
+++ b/flintfield/wire/http1/discovery.py
@@ -11,7 +11,7 @@
 
 from flintfield.decision.interface import Entry, ListMode, State
 from flintfield.memory.messages import (
-    Address, CallDiscovery, LeaveDiscovery, Message, Reach, Route, RouteCallFailed, RouteNews,
+    Address, CallDiscovery, LeaveDiscovery, Message, Reach, Route, RouteCallFailed, RouteUpdate,
     worker_of,
 )
 from flintfield.wire.http1.client import Pool
@@ -39,12 +39,12 @@
     zones: Sequence[str]
     kinds: Sequence[str]
 
-    def news(self, raw: Any, cached: bool = False) -> RouteNews:
+    def news(self, raw: Any, cached: bool = False) -> RouteUpdate:
         """Parse a full list or a delta."""
         try:
             mode = ListMode.CACHED if cached else ListMode.FULL if raw["reset"] else ListMode.DELTA
             routes = [self._route(r) for r in list(raw["instances"])]
-            return RouteNews(mode, int(raw["generation"]), tuple(r for r in routes if r))
+            return RouteUpdate(mode, int(raw["generation"]), tuple(r for r in routes if r))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise ListError(f"server list can't be parsed: {error!r}") from error
 
--- a/flintfield/wire/http1/hop.py
+++ b/flintfield/wire/http1/hop.py
@@ -8,8 +8,8 @@
 
 from flintfield.decision.interface import Report
 from flintfield.memory.messages import (
-    DropBranch, End, Ending, HoldBranch, Message, OpenBranch, ProbeEnded, ProbeHop, Reach, ShutHops,
-    WriteBranch,
+    DropBranch, End, Ending, HoldBranch, Message, OpenBranch, ProbeEnded, ProbeWorker, Reach,
+    CloseIdleConnections, WriteBranch,
 )
 from flintfield.wire.http1.answer import Head
 from flintfield.wire.http1.branch import BranchConnection, Shared
@@ -59,7 +59,7 @@
         if connection := self._branches.pop((effect.rid, effect.branch), None):
             connection.close()
 
-    def shut(self, effect: ShutHops) -> None:
+    def shut(self, effect: CloseIdleConnections) -> None:
         """Close all idle connections to these next hops, and keep none from now on."""
         self._shared.spares.shut(effect.addresses)
         for address in effect.addresses:
@@ -70,7 +70,7 @@
 
     # ---------------------------------------------------------------- probes
 
-    async def probe(self, effect: ProbeHop) -> None:
+    async def probe(self, effect: ProbeWorker) -> None:
         """Ask once for the load report, and send the result as `ProbeEnded`."""
         began, ending = self._clock(), Ending(End.BROKEN, Reach.SENT, word="no answer in time")
         try:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -24,7 +24,7 @@
 from flintfield.decision.interface import ListMode
 from flintfield.lifecycle.operators import read_operators
 from flintfield.lifecycle.start import main
-from flintfield.memory.messages import RouteNews
+from flintfield.memory.messages import RouteUpdate
 from flintfield.memory.state import State
 from peers import ROOT, SETTINGS, SOON, Hop, Scheduler, Start, ended, start
 from test_checkpoint import RICH
@@ -92,7 +92,7 @@
 
 def test_after_a_wrap_the_header_holds_seed_settings_and_the_list_as_it_stood() -> None:
     memory = Recorded(30_000)
-    memory.take(RouteNews(ListMode.FULL, 9, (route(2), route(5)), memory.state.calls))
+    memory.take(RouteUpdate(ListMode.FULL, 9, (route(2), route(5)), memory.state.calls))
     memory.until(memory.now + 80_000)
     header, first = (json.loads(line) for line in memory.lines()[:2])
     assert (header["seed"], header["settings"]) == ("1", SETTINGS)
@@ -145,11 +145,11 @@
 
 def test_one_event_larger_than_the_ring_leaves_a_header_that_stands_for_it() -> None:
     memory = Recorded(30_000)
-    memory.take(RouteNews(ListMode.FULL, 9, tuple(route(n) for n in range(1, 400)),
+    memory.take(RouteUpdate(ListMode.FULL, 9, tuple(route(n) for n in range(1, 400)),
                           memory.state.calls))
     header = json.loads(memory.lines()[0])
     assert len(memory.lines()) == 1 and header["omitted"] == ["state", "servers"]
-    memory.take(RouteNews(ListMode.FULL, 10, tuple(route(n) for n in range(1, 4)), memory.state.calls))
+    memory.take(RouteUpdate(ListMode.FULL, 10, tuple(route(n) for n in range(1, 4)), memory.state.calls))
     memory.until(memory.now + 80_000)  # past a wrap: a header that is whole stands first
     assert replayed(memory.lines()) == ([], [])
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -10,7 +10,7 @@
 from flintfield.decision.interface import ListMode, Report, State as Lifecycle
 from flintfield.memory.messages import (
     Answer, BranchEnded, BranchNoted, BranchUp, CallerLeft, DiscoveryMoved, DropBranch, Effect, Message,
-    OpenBranch, ProbeEnded, RouteCallFailed, RouteNews, StopAsked, Submission, Submitted, WriteBranch,
+    OpenBranch, ProbeEnded, RouteCallFailed, RouteUpdate, StopRequested, Submission, Submitted, WriteBranch,
 )
 
 from peers import CLASSES, SETTINGS
@@ -72,7 +72,7 @@
         elif what == 4:
             state = (Lifecycle.READY, Lifecycle.DRAINING, Lifecycle.GONE)[which % 3]
             mode = (ListMode.DELTA, ListMode.FULL)[which % 7 == 0]
-            self.take(RouteNews(mode, 8, (route(1 + which % 3, state),), memory.state.calls))
+            self.take(RouteUpdate(mode, 8, (route(1 + which % 3, state),), memory.state.calls))
         elif what == 5:
             ending = replace(Script.ENDS[which % 7], report=Report(free=which % 5, queue=which % 2))
             self.take(ProbeEnded(1 + which % 3, ending, 1.0))
@@ -82,7 +82,7 @@
             self.take(DiscoveryMoved((OLD, NEW)[which % 2]))
         elif what == 8 and which > 60 and not self.stopped:
             self.stopped = True
-            self.take(StopAsked(memory.now + 3_500.0))
+            self.take(StopRequested(memory.now + 3_500.0))
         elif self.rid and what == 9:
             self.take(CallerLeft(1 + which % self.rid))
         elif opened := memory.all(OpenBranch):
@@ -100,7 +100,7 @@
 def kept(memory: Memory) -> dict[str, Any]:
     """All non-empty tables that hold entries of single transactions."""
     state, module = memory.state, memory.state.dispatcher
-    tables = {"transactions": state.transactions, "names": state.names, "jobs": module.jobs,
+    tables = {"transactions": state.transactions, "names": state.open_job_ids, "jobs": module.jobs,
               "attempts": module.attempts, "held": module.held.sorts,
               "checks": list(module.checks.kept()),
               "pending": [a for w in module.workers.values() for a in w.pending],
--- a/tests/test_jobstatus.py
+++ b/tests/test_jobstatus.py
@@ -14,7 +14,7 @@
 from flintfield.lifecycle.start import main
 from flintfield.memory.jobs import Jobs
 from flintfield.memory.messages import (
-    BranchEnded, BranchNoted, BranchUp, CallerLeft, End, Ending, Message, Reach, RouteNews, Submission,
+    BranchEnded, BranchNoted, BranchUp, CallerLeft, End, Ending, Message, Reach, RouteUpdate, Submission,
     Submitted, Untracked,
 )
 from flintfield.memory.state import State
@@ -116,8 +116,8 @@
     def __init__(self, most: int = 10) -> None:
         super().__init__()
         self.state = State(Dispatcher(read_settings(SETTINGS)[0], 1), 100, OLD, Jobs(1000.0, most))
-        self.take(RouteNews(ListMode.CACHED, 7, self.routes))
-        self.take(RouteNews(ListMode.DELTA, 7, (), 1))
+        self.take(RouteUpdate(ListMode.CACHED, 7, self.routes))
+        self.take(RouteUpdate(ListMode.DELTA, 7, (), 1))
 
     def seen(self, name: str) -> tuple[object, ...]:
         assert self.state.jobs
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -9,13 +9,13 @@
 
 from flintfield.decision.interface import NEVER_RAN, ListMode, State as Lifecycle
 from flintfield.memory.jobs import JobRecord, Jobs
-from flintfield.memory.ledger import MAX_PENDING_TICKETS, Ledger
+from flintfield.memory.job_records import MAX_PENDING_TICKETS, Ledger
 from flintfield.memory.messages import (
-    Answer, BranchEnded, BranchUp, CallerLeft, DropBranch, Effect, End, Ending, HoldBranch, Keep, KeepFailed,
-    Kept, Lasting, Message, OpenBranch, Reach, RouteNews, Submission, Submitted, TryKeep, Verdict,
-    Woke, WriteBranch,
+    Answer, BranchEnded, BranchUp, CallerLeft, DropBranch, Effect, End, Ending, HoldBranch, WriteRecords,
+    RecordsFailed, RecordsWritten, StoredJob, Message, OpenBranch, Reach, RouteUpdate, Submission, Submitted,
+    RetryRecords, Verdict, TimerFired, WriteBranch,
 )
-from flintfield.memory.branching import outcome_of
+from flintfield.memory.attempts import outcome_of
 from flintfield.memory.state import BranchTimer, State
 from test_memory import DONE, Memory, Script, only, route
 
@@ -32,8 +32,8 @@
             state.jobs = Jobs(KEEP_MS, most)
             state.ledger = Ledger(frozenset({BOOKING}), KEEP_MS, WAIT_MS, promise, most)
 
-        self.waiting: list[Keep] = []
-        self.on_disk: dict[str, Lasting] = {}
+        self.waiting: list[WriteRecords] = []
+        self.on_disk: dict[str, StoredJob] = {}
         self.written_branches: dict[tuple[int, int], str] = {}  # their job ids
         super().__init__(hops, prepare)
 
@@ -42,7 +42,7 @@
             self.written_branches.pop((message.rid, message.branch), None)
         effects = super().take(message)
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, WriteRecords):
                 self.waiting.append(effect)
             elif isinstance(effect, WriteBranch):
                 self._check_write(effect)
@@ -70,7 +70,7 @@
             self.on_disk |= {r.name: r for r in keep.records}
             for name in keep.gone:
                 self.on_disk.pop(name, None)
-        return self.take(Kept((keep.ticket,)) if succeeds else KeepFailed((keep.ticket,)))
+        return self.take(RecordsWritten((keep.ticket,)) if succeeds else RecordsFailed((keep.ticket,)))
 
     def settle(self) -> list[Effect]:
         """Complete all tickets successfully."""
@@ -93,11 +93,11 @@
     disk.settle()
     assert disk.seen("1") == ("waiting", None, False)
     effects = disk.take(BranchUp(1, 0))
-    assert [type(e) for e in effects] == [HoldBranch, Keep] and only(effects, Keep).urgent
+    assert [type(e) for e in effects] == [HoldBranch, WriteRecords] and only(effects, WriteRecords).urgent
     assert only(disk.answer_disk(), WriteBranch).branch == 0
     assert disk.seen("1") == ("running", None, True)
     effects = disk.take(BranchEnded(1, 0, DONE))
-    assert not [e for e in effects if isinstance(e, Answer)] and only(effects, Keep).urgent
+    assert not [e for e in effects if isinstance(e, Answer)] and only(effects, WriteRecords).urgent
     assert only(disk.answer_disk(), Answer) == Answer(1, Verdict.SERVED, b"result")
     assert disk.seen("1")[:2] == ("ended", "served") and not disk.state.transactions
 
@@ -133,7 +133,7 @@
     branch = only(disk.submit(1, cls=1), OpenBranch)
     disk.take(BranchUp(1, 0))
     news = route(branch.address[1], Lifecycle.DRAINING)
-    disk.take(RouteNews(ListMode.DELTA, 8, (news,), disk.state.calls))
+    disk.take(RouteUpdate(ListMode.DELTA, 8, (news,), disk.state.calls))
     effects = disk.settle()
     assert only(effects, DropBranch) == DropBranch(1, 0)
     assert not [e for e in effects if isinstance(e, WriteBranch)]
@@ -166,7 +166,7 @@
     disk.submit(1, cls=1)
     disk.take(BranchUp(1, 0))
     disk.state.timers.set(disk.now, BranchTimer(1, 0))
-    disk.take(Woke())
+    disk.take(TimerFired())
     assert disk.state.counters["branches.ended.moot"] == 1 and not disk.state.last_errors
 
 
@@ -192,7 +192,7 @@
     assert only(disk.take(BranchEnded(3, 0, DONE)), Answer)
     for _ in range(3):
         disk.settle()
-        disk.take(TryKeep())
+        disk.take(RetryRecords())
     assert disk.seen("1")[:2] == ("ended", "refused") and disk.seen("3")[:2] == ("ended", "served")
     disk.submit(4, cls=1)
     disk.take(BranchUp(4, 0))
@@ -212,7 +212,7 @@
     assert only(disk.take(BranchEnded(1, 0, DONE)), Answer).verdict is Verdict.SERVED
     disk.submit(2, cls=1)
     assert [type(e) for e in disk.take(BranchUp(2, 0))] == [WriteBranch]  # the ledger is down: no wait
-    assert disk.take(TryKeep()) == []  # a pending ticket will show whether the disk works
+    assert disk.take(RetryRecords()) == []  # a pending ticket will show whether the disk works
     disk.settle()
     assert disk.seen("2") == ("running", None, True)
 
@@ -302,14 +302,14 @@
         elif n % 4 == 2:
             disk.answer_disk(succeeds=False, on_disk=n % 8 == 2)
         else:
-            disk.take(TryKeep())
+            disk.take(RetryRecords())
     disk.until(disk.now + 2000)  # no ticket completes any more
     answers = disk.all(Answer)
     assert sorted(a.rid for a in answers) == list(range(1, script.rid + 1))
     assert not disk.state.transactions and disk.state.counters["defects"] == 0
     for _ in range(3):  # the disk works again, and the ledger catches up
         disk.settle()
-        disk.take(TryKeep())
+        disk.take(RetryRecords())
     jobs = disk.state.jobs
     assert jobs and disk.state.ledger and disk.state.ledger.up
     for name, record in disk.on_disk.items():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -79,4 +79,5 @@
     for rid in range(10_000):
         memory.take(CallerLeft(rid))
     memory.until(memory.now + 70_000)
-    assert not memory.state.transactions and not memory.state.names and not memory.state.dispatcher.jobs
+    assert (not memory.state.transactions and not memory.state.open_job_ids
+            and not memory.state.dispatcher.jobs)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -19,12 +19,12 @@
 from flintfield.lifecycle.log import make_log
 from flintfield.memory.messages import (
     Answer, BranchEnded, BranchNoted, BranchUp, CallDiscovery, CallerLeft, DiscoveryMoved, DropBranch, Effect,
-    End, Ending, LeaveDiscovery, Message, OpenBranch, ProbeEnded, Reach, Route, RouteCallFailed, RouteNews,
-    StopAsked, Submission, Submitted, Verdict, Woke, WriteBranch,
+    End, Ending, LeaveDiscovery, Message, OpenBranch, ProbeEnded, Reach, Route, RouteCallFailed, RouteUpdate,
+    StopRequested, Submission, Submitted, Verdict, TimerFired, WriteBranch,
 )
-from flintfield.memory.branching import outcome_of
+from flintfield.memory.attempts import outcome_of
 from flintfield.memory.reducer import reduce
-from flintfield.memory.taking import DEADLINE_MARGIN_MS
+from flintfield.memory.submission import DEADLINE_MARGIN_MS
 from flintfield.memory.state import State
 from flintfield.wire.http1 import discovery
 from flintfield.wire.http1.client import Pool
@@ -44,9 +44,9 @@
         prepare(self.state)
         self.now, self.effects = 1000.0, list[Effect]()
         self.routes = tuple(route(n) for n in range(1, hops + 1))
-        self.take(RouteNews(ListMode.CACHED, 7, self.routes))
+        self.take(RouteUpdate(ListMode.CACHED, 7, self.routes))
         if told:  # discovery has answered with no changes
-            self.effects = self.take(RouteNews(ListMode.DELTA, 7, (), 1))[:]
+            self.effects = self.take(RouteUpdate(ListMode.DELTA, 7, (), 1))[:]
 
     def take(self, message: Message) -> list[Effect]:
         effects = reduce(self.state, self.now, message)
@@ -61,7 +61,7 @@
     def until(self, at: float) -> None:
         while (due := self.state.timers.next_at()) is not None and due <= at:
             self.now = max(self.now, due)
-            self.take(Woke())
+            self.take(TimerFired())
         self.now = at
 
     def all(self, kind: type[E]) -> list[E]:
@@ -88,7 +88,7 @@
     memory = Memory()
     branch = only(memory.submit(1, cls=1), OpenBranch)
     told = branch.address[1]
-    memory.take(RouteNews(ListMode.DELTA, 8, (route(told, change),), memory.state.calls))
+    memory.take(RouteUpdate(ListMode.DELTA, 8, (route(told, change),), memory.state.calls))
     effects = memory.take(BranchUp(1, 0))
     assert not [e for e in effects if isinstance(e, WriteBranch)]
     again = only(effects, OpenBranch)  # the job never ran, so it is sent elsewhere
@@ -121,7 +121,7 @@
                     CallerLeft(1)):
         memory.take(message)
     assert memory.all(Answer) == [Answer(1, Verdict.SERVED, b"result")]
-    assert not memory.state.transactions and not memory.state.names
+    assert not memory.state.transactions and not memory.state.open_job_ids
 
 
 def test_a_tick_that_raises_is_counted_and_the_next_ones_follow(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -195,7 +195,7 @@
     memory = Memory()
     memory.submit(1)
     memory.take(BranchUp(1, 0))
-    memory.take(StopAsked(memory.now + left))
+    memory.take(StopRequested(memory.now + left))
     assert only(memory.take(BranchEnded(1, 0, DONE)), Answer).close is close
     refused = only(memory.submit(2, wait_ms=5.0), Answer)
     assert refused.verdict is Verdict.REFUSED and refused.close
@@ -207,7 +207,7 @@
 def test_a_watch_continues_at_once_and_a_failed_one_is_retried() -> None:
     memory = Memory()
     assert [c.generation for c in memory.all(CallDiscovery)] == [7]
-    news = RouteNews(ListMode.DELTA, 9, (), memory.state.calls)
+    news = RouteUpdate(ListMode.DELTA, 9, (), memory.state.calls)
     assert only(memory.take(news), CallDiscovery).generation == 9
     failed = RouteCallFailed("cut", memory.state.calls)
     assert not [e for e in memory.take(failed) if isinstance(e, CallDiscovery)]
@@ -220,7 +220,7 @@
     memory.take(RouteCallFailed("answered 503", memory.state.calls, busy=True))
     memory.until(memory.now + 3000)
     assert [c.generation for c in memory.all(CallDiscovery)] == [7, 7]
-    anew = RouteNews(ListMode.DELTA, 3, (route(9),), memory.state.calls)
+    anew = RouteUpdate(ListMode.DELTA, 3, (route(9),), memory.state.calls)
     assert only(memory.take(anew), CallDiscovery).generation is None and 9 not in memory.state.routes
 
 
@@ -232,16 +232,16 @@
         call = CallDiscovery(first.call + n + 1, address, None, waits=False)
         assert memory.take(DiscoveryMoved(address)) == [leave, call]
     assert memory.take(DiscoveryMoved(NEW)) == []
-    for late in (RouteNews(ListMode.FULL, 99, (), first.call), RouteCallFailed("ended", first.call + 1)):
+    for late in (RouteUpdate(ListMode.FULL, 99, (), first.call), RouteCallFailed("ended", first.call + 1)):
         assert memory.take(late) == []
     assert len(memory.state.routes) == 2 and memory.state.counters["discovery.late_word"] == 2
-    again = only(memory.take(RouteNews(ListMode.FULL, 3, (route(2),), first.call + 3)), CallDiscovery)
+    again = only(memory.take(RouteUpdate(ListMode.FULL, 3, (route(2),), first.call + 3)), CallDiscovery)
     assert again == CallDiscovery(first.call + 4, NEW, 3) and list(memory.state.routes) == [2]
 
 
 def test_a_whole_list_removes_unlisted_next_hops() -> None:
     memory = Memory()
-    memory.take(RouteNews(ListMode.FULL, 9, (route(2),), memory.state.calls))
+    memory.take(RouteUpdate(ListMode.FULL, 9, (route(2),), memory.state.calls))
     assert list(memory.state.routes) == [2]
     assert {only(memory.submit(n), OpenBranch).address[1] for n in (1,)} == {2}
 
@@ -265,7 +265,7 @@
             memory.until(memory.now + which)
         elif what == 4:
             state = (Lifecycle.READY, Lifecycle.DRAINING, Lifecycle.GONE)[which % 3]
-            memory.take(RouteNews(ListMode.DELTA, 8, (route(1 + which % 3, state),), memory.state.calls))
+            memory.take(RouteUpdate(ListMode.DELTA, 8, (route(1 + which % 3, state),), memory.state.calls))
         elif what == 5:
             ending = replace(self.ENDS[which % 7], report=Report(free=which % 5, queue=which % 2))
             memory.take(ProbeEnded(1 + which % 3, ending, 1.0))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,15 +12,15 @@
 from flintfield.decision.interface import OperatorOverrides, Entry, ListMode, Outcome, Probe, ServerList
 from flintfield.decision.learned import cold_sends, restore_cold_sends
 from flintfield.memory.messages import (
-    Answer, BranchUp, JobClosed, JobOpened, OpenBranch, Route, RouteNews, ShutHops, Verdict, WriteBranch,
-    worker_of,
+    Answer, BranchUp, JobClosed, JobOpened, OpenBranch, Route, RouteUpdate, CloseIdleConnections, Verdict,
+    WriteBranch, worker_of,
 )
 from flintfield.memory.orders import (
     RETENTION_MS, SCHEDULER, Book, OrderAsked, OrderRefused, Orders, OrdersHeard, OrderTaken, Word, merge,
     prune, read_book, write_book,
 )
 from flintfield.memory.state import State
-from flintfield.memory.succession import IdsElsewhere, Stands, Succession
+from flintfield.memory.handover_messages import RemoteJobIds, LinkStatus, Succession
 from helpers import World, only, sent_to, settings
 from test_memory import Memory, only as one
 
@@ -43,11 +43,11 @@
         def prepare(state: State) -> None:
             state.handlers.update({
                 OrderAsked: self.orders.asked, OrdersHeard: self.orders.heard,
-                IdsElsewhere: succession.elsewhere, Stands: succession.stands})
+                RemoteJobIds: succession.elsewhere, LinkStatus: succession.stands})
 
         super().__init__(0, prepare, **settings)
-        self.take(RouteNews(ListMode.CACHED, 7, listed(*names)))
-        self.take(RouteNews(ListMode.DELTA, 7, (), 1))
+        self.take(RouteUpdate(ListMode.CACHED, 7, listed(*names)))
+        self.take(RouteUpdate(ListMode.DELTA, 7, (), 1))
 
     def order(self, subject: str, out: bool) -> Any:
         return next(e for e in self.take(OrderAsked(1, subject, out))
@@ -85,7 +85,7 @@
     memory = Operated("s-1", "s-2")
     port = one(memory.submit(1, cls=1), OpenBranch).address[1]
     effects = memory.take(OrderAsked(1, f"s-{port}", True))
-    assert one(effects, ShutHops).addresses == {("127.0.0.1", port)}
+    assert one(effects, CloseIdleConnections).addresses == {("127.0.0.1", port)}
     effects = memory.take(BranchUp(1, 0))
     assert not [e for e in effects if isinstance(e, WriteBranch)]
     assert one(effects, OpenBranch).address[1] == 3 - port  # the job never ran, so it is sent elsewhere
@@ -96,7 +96,7 @@
     assert memory.order("s-9", True).status == memory.order("s-9", False).status == 404
     assert memory.order("s-1", False) == OrderTaken(1, False)
     assert memory.order("s-1", True).changed and not memory.order("s-1", True).changed
-    memory.take(RouteNews(ListMode.FULL, 8, (), memory.state.calls))  # it leaves the list
+    memory.take(RouteUpdate(ListMode.FULL, 8, (), memory.state.calls))  # it leaves the list
     assert memory.order("s-1", False).changed  # and can be readmitted all the same
     assert memory.order("s-1", True).status == 404
     assert memory.order(SCHEDULER, True).changed and memory.state.drained
@@ -106,7 +106,7 @@
     memory = Operated("s-1", "s-2")
     memory.order("s-1", True)
     for n, routes in ((8, listed("s-2")), (9, listed("s-1", "s-2", started_ms=900.0))):
-        memory.take(RouteNews(ListMode.FULL, n, routes, memory.state.calls))
+        memory.take(RouteUpdate(ListMode.FULL, n, routes, memory.state.calls))
     for rid in range(1, 5):
         opened = [e for e in memory.submit(rid) if isinstance(e, OpenBranch)]
         assert all(e.address == ("127.0.0.1", 2) for e in opened)
@@ -127,16 +127,16 @@
 def test_ids_open_elsewhere_are_refused_and_own_ids_announced_while_linked() -> None:
     memory = Operated("s-1", "s-2", "s-3")
     assert not [e for e in memory.submit(1) if isinstance(e, JobOpened)]
-    memory.take(Stands(True, False, False))
+    memory.take(LinkStatus(True, False, False))
     effects = memory.submit(2, cls=1)
     assert effects.index(JobOpened("2")) < next(
         i for i, e in enumerate(effects) if isinstance(e, OpenBranch))
-    memory.take(IdsElsewhere(("3",), (), True))
+    memory.take(RemoteJobIds(("3",), (), True))
     assert one(memory.submit(3), Answer).verdict is Verdict.FAILED
-    effects = memory.take(IdsElsewhere(("2",), (), True))  # an older process has it too: our copy fails
+    effects = memory.take(RemoteJobIds(("2",), (), True))  # an older process has it too: our copy fails
     assert one(effects, Answer).rid == 2 and JobClosed("2") in memory.effects
-    memory.take(IdsElsewhere((), ("2", "3"), True))
-    assert not memory.state.elsewhere and [e for e in memory.submit(4) if isinstance(e, OpenBranch)]
+    memory.take(RemoteJobIds((), ("2", "3"), True))
+    assert not memory.state.remote_job_ids and [e for e in memory.submit(4) if isinstance(e, OpenBranch)]
 
 
 def test_a_readmitted_worker_is_cold_from_readmission_despite_an_earlier_start() -> None:
--- a/tests/test_statuspage.py
+++ b/tests/test_statuspage.py
@@ -13,7 +13,7 @@
 import pytest
 
 from flintfield.decision.interface import ListMode, State as Lifecycle
-from flintfield.memory.messages import BranchEnded, BranchUp, End, Ending, ProbeEnded, Reach, RouteNews
+from flintfield.memory.messages import BranchEnded, BranchUp, End, Ending, ProbeEnded, Reach, RouteUpdate
 from flintfield.memory.status import take_status
 from peers import SOON, Hop, Scheduler, Start, ended, start, until
 from test_memory import DONE, Memory, route
@@ -163,5 +163,5 @@
         return [s.last_error for s in told.servers]
 
     assert shown() == [word]
-    memory.take(RouteNews(ListMode.DELTA, 8, (route(1, Lifecycle.GONE),), memory.state.calls))
+    memory.take(RouteUpdate(ListMode.DELTA, 8, (route(1, Lifecycle.GONE),), memory.state.calls))
     assert shown() == [] and not memory.state.last_errors
--- a/tests/test_telling.py
+++ b/tests/test_telling.py
@@ -20,7 +20,7 @@
 from flintfield.base.settings import FIRST_WORD_MS
 from flintfield.decision.discovery_schedule import CALL_MS
 from flintfield.decision.interface import ListMode
-from flintfield.memory.messages import CallDiscovery, DiscoveryMoved, OpenBranch, RouteCallFailed, RouteNews
+from flintfield.memory.messages import CallDiscovery, DiscoveryMoved, OpenBranch, RouteCallFailed, RouteUpdate
 from flintfield.wire.http1.discovery import wait_ms, within_ms
 
 from peers import CLASSES, SOON, Directory, Hop, Start, ended, until
@@ -129,8 +129,8 @@
     memory.until(memory.now + 1_000.0)
     retry = memory.all(CallDiscovery)[-1]
     assert (retry.generation, retry.waits) == (first.generation, False)  # a delta, at once
-    memory.take(RouteNews(ListMode.DELTA, 9, (), retry.call))
-    assert memory.all(CallDiscovery)[-1].waits and memory.state.due is None
+    memory.take(RouteUpdate(ListMode.DELTA, 9, (), retry.call))
+    assert memory.all(CallDiscovery)[-1].waits and memory.state.changes_due_at is None
 
 
 def test_in_automatic_mode_a_failed_call_is_retried_within_the_drain_grace() -> None:
@@ -211,7 +211,7 @@
         assert not [e for e in memory.submit(2, 1, 20_000.0) if isinstance(e, OpenBranch)]
         opened_before = len(memory.all(OpenBranch))
         if answered:
-            memory.take(RouteNews(ListMode.DELTA, 9, (), memory.state.calls))
+            memory.take(RouteUpdate(ListMode.DELTA, 9, (), memory.state.calls))
         else:
             memory.until(due + FIRST_WORD_MS - 200.0)
             assert len(memory.all(OpenBranch)) == opened_before
