--- a/flintfield/memory/succession.py
+++ b/flintfield/memory/handover_messages.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from flintfield.decision.learned import learned, recall, spent, take_spent
+from flintfield.decision.learned import export_learned, restore_learned, cold_sends, restore_cold_sends
 from flintfield.decision.values import value
 from flintfield.memory.messages import UnitEffect, UnitMessage
 
@@ -28,7 +28,7 @@
 
 
 @value
-class IdsElsewhere(UnitMessage):
+class RemoteJobIds(UnitMessage):
     """Job ids that other processes opened and closed; `older`: those processes started before this one."""
 
     opened: tuple[str, ...]
@@ -37,7 +37,7 @@
 
 
 @value
-class Stands(UnitMessage):
+class LinkStatus(UnitMessage):
     """Whether other processes are linked, whether one is newer, and whether the newest is ready."""
 
     linked: bool
@@ -54,7 +54,7 @@
 
 def figures_of(state: State, now: float) -> dict[str, Any]:
     """The figures that a newer process inherits, as plain values."""
-    return {"learned": learned(state.dispatcher), "spent": spent(state.dispatcher, now)}
+    return {"learned": export_learned(state.dispatcher), "spent": cold_sends(state.dispatcher, now)}
 
 
 class Succession:
@@ -67,27 +67,27 @@
         """Load the inherited figures."""
         dispatcher = turn.state.dispatcher
         try:
-            recall(dispatcher, message.figures["learned"])
-            take_spent(dispatcher, message.figures["spent"])
+            restore_learned(dispatcher, message.figures["learned"])
+            restore_cold_sends(dispatcher, message.figures["spent"])
         except (ValueError, KeyError, TypeError) as error:
             turn.effects.append(Nothing(str(error)))
         else:
             turn.state.counters["handover.inherited"] += 1
 
-    def elsewhere(self, turn: Turn, message: IdsElsewhere) -> None:
+    def elsewhere(self, turn: Turn, message: RemoteJobIds) -> None:
         """Update the job ids that are open in other processes."""
         state = turn.state
-        ids: Counter[str] = state.elsewhere
+        ids: Counter[str] = state.remote_job_ids
         ids.update(message.opened)
         ids.subtract(message.closed)
         for name in message.closed:
             if ids[name] <= 0:
                 del ids[name]
         for name in message.opened if message.older else ():
-            if (rid := state.names.get(name)) is not None:
+            if (rid := state.open_job_ids.get(name)) is not None:
                 turn.give_way(rid)
 
-    def stands(self, turn: Turn, message: Stands) -> None:
+    def stands(self, turn: Turn, message: LinkStatus) -> None:
         """Update which other processes are linked."""
         state = turn.state
         state.linked, state.newer_ready = message.linked, message.newer_ready
--- a/flintfield/memory/taking.py
+++ b/flintfield/memory/submission.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from flintfield.decision.interface import Gone, Request
-from flintfield.memory.keeping import Keeping
+from flintfield.decision.interface import ClientLeft, Request
+from flintfield.memory.record_waits import Keeping
 from flintfield.memory.messages import CallerLeft, JobOpened, Submitted, Untracked, Verdict
 from flintfield.memory.state import DeadlineTimer, Transaction
 
@@ -23,12 +23,12 @@
         transaction = Transaction(message.rid, given, self.now, deadline)
         state.transactions[message.rid] = transaction
         state.timers.set(deadline, DeadlineTimer(message.rid))  # first, so that it is answered whatever fails
-        if given.name in state.names:
+        if given.name in state.open_job_ids:
             # Prevents a second copy of a job: the first one with this id is still open.
             state.counters["requests.same_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
-        if given.name in state.elsewhere:
+        if given.name in state.remote_job_ids:
             # Prevents two copies in two processes: another process of this scheduler has the job open.
             state.counters["requests.open_elsewhere"] += 1
             self._answer(message.rid, Verdict.FAILED)
@@ -40,7 +40,7 @@
             state.counters["requests.interrupted_id"] += 1
             self._answer(message.rid, Verdict.FAILED)
             return
-        state.names[given.name] = message.rid
+        state.open_job_ids[given.name] = message.rid
         if state.linked:
             self.effects.append(JobOpened(given.name))
         tracked = self._track(transaction)
@@ -78,7 +78,7 @@
             return
         self.state.counters["requests.open_elsewhere"] += 1
         self._answer(rid, Verdict.FAILED)
-        self._events.append(Gone(rid))
+        self._events.append(ClientLeft(rid))
 
     def caller_left(self, message: CallerLeft) -> None:
         transaction = self.state.transactions.get(message.rid)
@@ -86,4 +86,4 @@
             return
         self.state.counters[f"requests.left.{transaction.submission.class_name}"] += 1
         self._answer(message.rid, Verdict.FAILED)  # it may only have closed its sending side
-        self._events.append(Gone(message.rid))
+        self._events.append(ClientLeft(message.rid))
