--- a/flintfield/coordination/storage/compaction.py
+++ b/flintfield/coordination/storage/compaction.py
@@ -25,7 +25,7 @@
     return limit_bytes // LIVE_LIMIT_DIVISOR
 
 
-def compaction_threshold(limit_bytes: int, live_bytes: int) -> int:
+def snapshot_threshold(limit_bytes: int, live_bytes: int) -> int:
     """The length of the log, in bytes, at which a snapshot starts."""
     return max(min(limit_bytes // 2, SOFT_RING_LIMIT_BYTES) // 2, LOG_TO_LIVE_RATIO * live_bytes)
 
--- a/flintfield/coordination/storage/store.py
+++ b/flintfield/coordination/storage/store.py
@@ -18,11 +18,7 @@
 from functools import partial
 
 from flintfield.coordination.storage.backoff import Backoff
-from flintfield.coordination.storage.compaction import (
-    IncrementalSnapshot,
-    compaction_threshold,
-    content_bound,
-)
+from flintfield.coordination.storage.compaction import IncrementalSnapshot, content_bound, snapshot_threshold
 from flintfield.coordination.storage.format import MAX_KEY_BYTES, FrameFlag, entry_bytes
 from flintfield.coordination.storage.interface import Change, StorageClosed, StorageFailed, StorageFull
 from flintfield.coordination.storage.ring import Ring
@@ -67,18 +63,13 @@
     """A `KeyedStore` on a `Ring`. Created by `open_store`."""
 
     def __init__(
-        self,
-        ring: Ring,
-        items: dict[bytes, bytes],
-        fresh: bool,
-        limit_bytes: int,
-        dependencies: StoreDependencies,
+        self, ring: Ring, items: dict[bytes, bytes], fresh: bool, limit_bytes: int, deps: StoreDependencies
     ) -> None:
         self.fresh = fresh
         self.counters = StoreCounters()
         self.ring = ring
         self._items = items
-        self._dependencies = dependencies
+        self._dependencies = deps
         self._max_live_bytes = content_bound(limit_bytes)
         self._limit_bytes = limit_bytes
         self._max_frame_bytes = ring.max_payload_bytes // 2  # leaves space for any one item
@@ -94,7 +85,7 @@
         self._spare_failed = False
         self._closing = False
         self._job_started_s = 0.0
-        self._backoff = Backoff(dependencies.random)
+        self._backoff = Backoff(deps.random)
         self._waiters = Waiters()
         self._not_writing = asyncio.Event()
         self._not_writing.set()
@@ -115,16 +106,12 @@
         return self._state
 
     def apply(self, changes: Sequence[Change]) -> int:
-        """Apply the changes to memory; they are written later. Raises `StorageFull` or `StorageClosed`.
-
-        Of several changes to one key, the last one is applied. If no value changes, the previous ticket is
-        returned.
-        """
+        """Apply each key's last change to memory; writes follow. Raises `StorageFull` or `StorageClosed`."""
         if self._state is State.CLOSED:
             raise StorageClosed("closed")
         merged = {key: value for key, value in dict(changes).items() if self._items.get(key) != value}
         if not merged:
-            return self._ticket  # no value changes, so no further write is needed
+            return self._ticket  # the previous ticket: no value changes, so no further write is needed
         growth = self._growth(merged)
         if growth > 0 and self._live_bytes + growth > self._max_live_bytes:
             self.counters.refused_changes += 1
@@ -250,19 +237,15 @@
         """Return a job that appends the pending changes and a chunk of any running snapshot as one frame."""
         changes, size = self._pending, self._pending_bytes
         self._pending, self._pending_bytes = {}, 0
-        threshold_bytes = compaction_threshold(self._limit_bytes, self._live_bytes)
+        threshold_bytes = snapshot_threshold(self._limit_bytes, self._live_bytes)
         starts_snapshot = self._snapshot is None and self.ring.chain_bytes >= threshold_bytes
         if starts_snapshot:
             self._snapshot = IncrementalSnapshot(self._items, self.ring.pool.segment_bytes)
         flags = FrameFlag.NONE
         entries: list[Change] = list(changes.items())
         if self._snapshot is not None:
-            free_payload_bytes = (
-                self.ring.max_payload_bytes if starts_snapshot else self.ring.free_payload_bytes
-            )
-            chunk, chunk_bytes = self._snapshot.next_chunk(
-                changes, size, free_payload_bytes, self.ring.max_payload_bytes
-            )
+            space = self.ring.max_payload_bytes if starts_snapshot else self.ring.free_payload_bytes
+            chunk, chunk_bytes = self._snapshot.next_chunk(changes, size, space, self.ring.max_payload_bytes)
             entries += chunk
             size += chunk_bytes
             if self._snapshot.finished:
